--- a/source/sidecar/memory_record.h
+++ b/source/sidecar/crash_history_record.h
@@ -4,7 +4,7 @@
 // write it again. When all of them are lost beside it, nobody remembers, and the requests that end
 // workers are new to the fleet. The loss itself shows: each era of the store has a record, written
 // by nodes that live on once all that they knew is there again, or at the first start of the fleet.
-// Processes that start in an era without a record write that the memory is lost.
+// Processes that start in an era without a record write that the history is lost.
 #pragma once
 
 #include <functional>
@@ -20,15 +20,15 @@
 namespace runshelf::sidecar {
 
 // Keys of the records; the era follows.
-constexpr std::string_view kMemoryPrefix = "runshelf/memory/";
+constexpr std::string_view kCrashHistoryPrefix = "runshelf/memory/";
 
 // What the nodes of a fleet remember in one era of the store.
-enum class Memory {
+enum class CrashHistory {
   kKept,  // All that was known before.
   kLost,  // Maybe nothing. Such a record lapses, as what is missing would have.
 };
 
-struct MemoryRecordContext {
+struct CrashHistoryRecordContext {
   event::EventLoop& loop;
   store::StoreClient& store;
   Random& random;
@@ -39,11 +39,11 @@
   std::function<bool()> writes_first;
 };
 
-class MemoryRecord {
+class CrashHistoryRecord {
  public:
-  explicit MemoryRecord(MemoryRecordContext context);
+  explicit CrashHistoryRecord(CrashHistoryRecordContext context);
 
-  static bool IsItemKey(std::string_view key) { return key.starts_with(kMemoryPrefix); }
+  static bool IsItemKey(std::string_view key) { return key.starts_with(kCrashHistoryPrefix); }
 
   // The record that a node which lives on writes of an era that has just begun, without a revision.
   // One with a lease is to be written under a lease of some minutes.
@@ -55,7 +55,7 @@
   void OnSynchronized();
 
   // Also true while this process does not know whether others live that remember.
-  bool MayHaveForgotten() const { return may_have_forgotten_; }
+  bool MayBeIncomplete() const { return may_be_incomplete_; }
   // Called when the answer to that may have changed.
   void set_on_changed(std::function<void()> on_changed) { on_changed_ = std::move(on_changed); }
 
@@ -63,17 +63,17 @@
   bool HasPresentRecord() const;
   void WriteIfMissing();
   // For another node to write the record.
-  bool WaitedLongEnough(Duration waited);
-  void Write(Memory memory, store::LeaseId lease);
-  void NoteChanged();
+  bool WriteDelayElapsed(Duration waited);
+  void Write(CrashHistory history, store::LeaseId lease);
+  void NotifyChanged();
 
-  MemoryRecordContext context_;
+  CrashHistoryRecordContext context_;
   event::Timer timer_;
   Instant missing_since_{};
-  std::optional<Duration> patience_;    // Drawn when it may matter.
-  std::optional<store::StoreEra> era_;  // Of the latest record that came.
+  std::optional<Duration> write_delay_;  // Drawn when it may matter.
+  std::optional<store::StoreEra> era_;   // Of the latest record that came.
   // A process that sees the store go back knows what it knew before.
-  bool may_have_forgotten_;
+  bool may_be_incomplete_;
   bool lapsed_ = false;  // The record of the present era told of a loss.
   std::function<void()> on_changed_;
 };
--- a/source/sidecar/crash_items.cc
+++ b/source/sidecar/crash_items.cc
@@ -11,8 +11,8 @@
 using nlohmann::json;
 
 // A worker runs some dozens of requests at once.
-constexpr size_t kMaxRequestsOfAnEnd = 512;
-constexpr size_t kMaxWorkersOfARequest = 64;
+constexpr size_t kMaxRequestsPerEnd = 512;
+constexpr size_t kMaxWorkersPerRequest = 64;
 constexpr size_t kMaxTextBytes = 256;
 
 json ParseJson(const std::string& text) {
@@ -41,9 +41,9 @@
 }  // namespace
 
 std::string WorkerEnd::Serialize() const {
-  json prints = json::array();
-  for (const RequestFingerprint& request : requests) prints.push_back(request.ToString());
-  return Dump(json{{"worker", worker_id}, {"node", node}, {"requests", std::move(prints)}});
+  json fingerprints = json::array();
+  for (const RequestFingerprint& request : requests) fingerprints.push_back(request.ToString());
+  return Dump(json{{"worker", worker_id}, {"node", node}, {"requests", std::move(fingerprints)}});
 }
 
 std::optional<WorkerEnd> WorkerEnd::Parse(const std::string& text) {
@@ -54,9 +54,9 @@
   reader.Read("worker", end.worker_id)
       .Read("node", end.node)
       .ReadArray("requests", requests, ReadFingerprint);
-  const bool whole = reader.ok() && !end.worker_id.empty() && IsBounded(end.worker_id) &&
-                     IsBounded(end.node) && requests.size() <= kMaxRequestsOfAnEnd;
-  if (!whole) return std::nullopt;
+  const bool valid = reader.ok() && !end.worker_id.empty() && IsBounded(end.worker_id) &&
+                     IsBounded(end.node) && requests.size() <= kMaxRequestsPerEnd;
+  if (!valid) return std::nullopt;
   for (const auto& request : requests) end.requests.push_back(*request);
   return end;
 }
@@ -74,9 +74,9 @@
       .Read("trials", item.trials)
       .ReadArray("workers", item.worker_ids, ReadText)
       .Read("asks", item.description);
-  const bool whole =
-      reader.ok() && IsBounded(item.description) && item.worker_ids.size() <= kMaxWorkersOfARequest;
-  return whole ? std::optional(item) : std::nullopt;
+  const bool valid =
+      reader.ok() && IsBounded(item.description) && item.worker_ids.size() <= kMaxWorkersPerRequest;
+  return valid ? std::optional(item) : std::nullopt;
 }
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/crash_record.cc
+++ b/source/sidecar/crash_record.cc
@@ -11,14 +11,14 @@
 // own.
 constexpr size_t kEndsForQuarantine = 2;
 // Of a request that may have ended workers before, which nobody remembers.
-constexpr size_t kEndsForQuarantineWhenForgotten = 1;
+constexpr size_t kEndsForQuarantineIfIncomplete = 1;
 // Runs of such a request, its first one and trials: those that users allow after the proof.
-constexpr uint32_t kMaxRunsWhenForgotten = 3;
+constexpr uint32_t kMaxRunsIfIncomplete = 3;
 // Users take three ends for proof, and allow three more runs after that, over the whole day. The
 // first trial is the third run. A request that is there by chance under five ends is served.
 constexpr uint32_t kMaxTrials = 4;
 // Several runs of a request may be at work in one worker: users count each run that an end cuts.
-constexpr size_t kRunsThatAreProof = 3;
+constexpr size_t kRunsInOneEndForProof = 3;
 // A run takes some 100 ms, and its outcome is known everywhere within about half a second.
 constexpr Duration kTrialSpacing = std::chrono::seconds(1);
 // Some hundred bytes each. A common loss of power ends hundreds of workers, with some 20 requests
@@ -44,20 +44,21 @@
                   all - std::min(all, excused_elsewhere));
 }
 
-void CrashRecord::SetMayHaveForgotten(bool may_have_forgotten) {
-  if (may_have_forgotten == may_have_forgotten_) return;
-  may_have_forgotten_ = may_have_forgotten;
-  for (const auto& [request, suspect] : suspects_) NoteChanged(request);
+void CrashRecord::SetHistoryMayBeIncomplete(bool history_may_be_incomplete) {
+  if (history_may_be_incomplete == history_may_be_incomplete_) return;
+  history_may_be_incomplete_ = history_may_be_incomplete;
+  for (const auto& [request, suspect] : suspects_) UpdateQuarantined(request);
 }
 
 bool CrashRecord::Quarantined(const Suspect& suspect, size_t excused_elsewhere) const {
   if (suspect.item.has_value() && !suspect.item->released) return true;
-  const size_t usual = may_have_forgotten_ ? kEndsForQuarantineWhenForgotten : kEndsForQuarantine;
+  const size_t usual =
+      history_may_be_incomplete_ ? kEndsForQuarantineIfIncomplete : kEndsForQuarantine;
   const size_t enough = suspect.was_quarantined ? 1 : usual;
   return Ends(suspect, excused_elsewhere) >= enough;
 }
 
-size_t CrashRecord::RunsCut(const Suspect& suspect) {
+size_t CrashRecord::InterruptedRuns(const Suspect& suspect) {
   size_t sum = 0;
   for (const auto& [worker_id, runs] : suspect.runs) {
     if (!suspect.excused.contains(worker_id)) sum += runs;
@@ -67,7 +68,7 @@
 
 bool CrashRecord::OneEndIsProof(const Suspect& suspect) {
   return std::any_of(suspect.runs.begin(), suspect.runs.end(), [&suspect](const auto& entry) {
-    return entry.second >= kRunsThatAreProof && !suspect.excused.contains(entry.first);
+    return entry.second >= kRunsInOneEndForProof && !suspect.excused.contains(entry.first);
   });
 }
 
@@ -79,11 +80,11 @@
 uint32_t CrashRecord::TrialsLeft(const Suspect& suspect) const {
   const bool has_item = suspect.item.has_value() && !suspect.item->released;
   const uint32_t begun = has_item ? suspect.item->trials : 0;
-  if (may_have_forgotten_) {
-    const auto runs = std::max(static_cast<uint32_t>(RunsCut(suspect)), begun + 1);
-    return runs >= kMaxRunsWhenForgotten ? 0 : kMaxRunsWhenForgotten - runs;
+  if (history_may_be_incomplete_) {
+    const auto runs = std::max(static_cast<uint32_t>(InterruptedRuns(suspect)), begun + 1);
+    return runs >= kMaxRunsIfIncomplete ? 0 : kMaxRunsIfIncomplete - runs;
   }
-  const bool proven_before = RunsCut(suspect) > kEndsForQuarantine + begun;
+  const bool proven_before = InterruptedRuns(suspect) > kEndsForQuarantine + begun;
   const uint32_t used = begun + (proven_before ? 1 : 0) + (OneEndIsProof(suspect) ? 1 : 0);
   return used >= kMaxTrials ? 0 : kMaxTrials - used;
 }
@@ -93,10 +94,10 @@
   return found == suspects_.end() ? nullptr : &found->second;
 }
 
-CrashRecord::Suspect& CrashRecord::Remember(const RequestFingerprint& request) {
+CrashRecord::Suspect& CrashRecord::FindOrAdd(const RequestFingerprint& request) {
   const auto found = suspects_.find(request);
   if (found != suspects_.end()) return found->second;
-  if (suspects_.size() >= kMaxSuspects) MakeRoom();
+  if (suspects_.size() >= kMaxSuspects) EvictOne();
   Suspect& suspect = suspects_[request];
   suspect.number = next_number_++;
   by_age_.emplace(suspect.number, request);
@@ -105,16 +106,16 @@
 
 // Those that were there once go first, the oldest before others: what ends workers is there again
 // and again, and a flood of bystanders does not push it out.
-void CrashRecord::MakeRoom() {
+void CrashRecord::EvictOne() {
   const auto dispensable = [this](const auto& entry) {
     return !Quarantined(suspects_.at(entry.second));
   };
   auto victim = std::find_if(by_age_.begin(), by_age_.end(), dispensable);
   if (victim == by_age_.end()) victim = by_age_.begin();
-  Forget(victim->second);
+  Remove(victim->second);
 }
 
-void CrashRecord::Forget(const RequestFingerprint& request) {
+void CrashRecord::Remove(const RequestFingerprint& request) {
   const auto found = suspects_.find(request);
   const uint64_t number = found->second.number;
   quarantined_.erase(request);
@@ -123,7 +124,7 @@
   by_age_.erase(number);
 }
 
-void CrashRecord::NoteChanged(const RequestFingerprint& request) {
+void CrashRecord::UpdateQuarantined(const RequestFingerprint& request) {
   if (Quarantined(suspects_.at(request))) {
     quarantined_.insert(request);
   } else {
@@ -133,22 +134,22 @@
 
 std::vector<RequestFingerprint> CrashRecord::OnWorkerEnd(
     const std::string& worker_id, const std::vector<RequestFingerprint>& requests) {
-  std::vector<RequestFingerprint> brought;
-  if (ends_.size() >= kMaxEnds && !ends_.contains(worker_id)) return brought;
+  std::vector<RequestFingerprint> newly_quarantined;
+  if (ends_.size() >= kMaxEnds && !ends_.contains(worker_id)) return newly_quarantined;
   std::vector<RequestFingerprint>& known = ends_[worker_id];
-  std::map<RequestFingerprint, size_t> told;
+  std::map<RequestFingerprint, size_t> reported;
   for (const RequestFingerprint& request : requests) {
-    Suspect& suspect = Remember(request);
+    Suspect& suspect = FindOrAdd(request);
     size_t& runs = suspect.runs[worker_id];
-    if (++told[request] <= runs) continue;
+    if (++reported[request] <= runs) continue;
     ++runs;
     known.push_back(request);
     const bool before = Quarantined(suspect);
     if (!suspect.worker_ids.insert(worker_id).second) continue;
-    NoteChanged(request);
-    if (!before && Quarantined(suspect)) brought.push_back(request);
+    UpdateQuarantined(request);
+    if (!before && Quarantined(suspect)) newly_quarantined.push_back(request);
   }
-  return brought;
+  return newly_quarantined;
 }
 
 void CrashRecord::OnWorkerEndLapsed(const std::string& worker_id) {
@@ -161,21 +162,21 @@
     suspect->second.runs.erase(worker_id);
     suspect->second.excused.erase(worker_id);
     suspect->second.released.erase(worker_id);
-    NoteChanged(request);
-    ForgetIfClear(request);
+    UpdateQuarantined(request);
+    RemoveIfClear(request);
   }
   ends_.erase(found);
 }
 
-void CrashRecord::ForgetIfClear(const RequestFingerprint& request) {
+void CrashRecord::RemoveIfClear(const RequestFingerprint& request) {
   const Suspect& suspect = suspects_.at(request);
   if (!suspect.worker_ids.empty() || suspect.item.has_value() || suspect.was_quarantined) return;
-  Forget(request);
+  Remove(request);
 }
 
 void CrashRecord::OnQuarantine(Instant now, const RequestFingerprint& request,
                                const QuarantineItem& item, store::Revision revision) {
-  Suspect& suspect = Remember(request);
+  Suspect& suspect = FindOrAdd(request);
   if (revision <= suspect.revision) return;
   suspect.item = item;
   suspect.release_stored = item.released;
@@ -186,7 +187,7 @@
     suspect.excused.insert(item.worker_ids.begin(), item.worker_ids.end());
     suspect.released.insert(item.worker_ids.begin(), item.worker_ids.end());
   }
-  NoteChanged(request);
+  UpdateQuarantined(request);
 }
 
 void CrashRecord::OnQuarantineLapsed(const RequestFingerprint& request) {
@@ -195,8 +196,8 @@
   found->second.was_quarantined = !found->second.item->released;
   found->second.item.reset();
   found->second.release_stored = false;
-  NoteChanged(request);
-  ForgetIfClear(request);
+  UpdateQuarantined(request);
+  RemoveIfClear(request);
 }
 
 bool CrashRecord::OnGoodRun(const RequestFingerprint& request) {
@@ -209,7 +210,7 @@
   suspect.excused = suspect.worker_ids;
   suspect.was_quarantined = false;
   if (suspect.item.has_value()) suspect.item->released = true;
-  NoteChanged(request);
+  UpdateQuarantined(request);
   return held_against;
 }
 
--- a/source/sidecar/crash_record.h
+++ b/source/sidecar/crash_record.h
@@ -38,9 +38,9 @@
 class CrashRecord {
  public:
   // Ends that the fleet knew of may be forgotten, and with them trials.
-  void SetMayHaveForgotten(bool may_have_forgotten);
-  // The end of a worker; told again, it adds what is new. Returns the requests that this end brings
-  // into quarantine.
+  void SetHistoryMayBeIncomplete(bool history_may_be_incomplete);
+  // The end of a worker; reported again, it adds what is new. Returns the requests that this end
+  // brings into quarantine.
   std::vector<RequestFingerprint> OnWorkerEnd(const std::string& worker_id,
                                               const std::vector<RequestFingerprint>& requests);
   // Nobody has seen requests of this end in quarantine for long.
@@ -102,18 +102,18 @@
   static size_t Ends(const Suspect& suspect, size_t excused_elsewhere = 0);
   bool Quarantined(const Suspect& suspect, size_t excused_elsewhere = 0) const;
   // Runs that were cut by ends that speak against it.
-  static size_t RunsCut(const Suspect& suspect);
+  static size_t InterruptedRuns(const Suspect& suspect);
   // So many were cut by one of these ends that it alone is proof for the users.
   static bool OneEndIsProof(const Suspect& suspect);
   // Trials that may still begin.
   uint32_t TrialsLeft(const Suspect& suspect) const;
   const Suspect* Find(const RequestFingerprint& request) const;
-  Suspect& Remember(const RequestFingerprint& request);
-  void MakeRoom();
-  void ForgetIfClear(const RequestFingerprint& request);
-  void Forget(const RequestFingerprint& request);
+  Suspect& FindOrAdd(const RequestFingerprint& request);
+  void EvictOne();
+  void RemoveIfClear(const RequestFingerprint& request);
+  void Remove(const RequestFingerprint& request);
   // To be called after every change of the suspect.
-  void NoteChanged(const RequestFingerprint& request);
+  void UpdateQuarantined(const RequestFingerprint& request);
   Change ChangeOf(const RequestFingerprint& request) const;
 
   std::map<RequestFingerprint, Suspect> suspects_;
@@ -121,7 +121,7 @@
   std::map<std::string, std::vector<RequestFingerprint>> ends_;  // By worker.
   std::map<uint64_t, RequestFingerprint> by_age_;                // By number.
   uint64_t next_number_ = 0;
-  bool may_have_forgotten_ = false;
+  bool history_may_be_incomplete_ = false;
 };
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/inbound_handler.cc
+++ b/source/sidecar/inbound_handler.cc
@@ -157,7 +157,7 @@
   }
   if (peer_protocol::IsWorkerEnd(exchange->request().head.headers)) {
     const bool write = peer_protocol::IsWorkerEndToWrite(exchange->request().head.headers);
-    const bool understood = quarantine_.OnToldEnd(exchange->request().body, write);
+    const bool understood = quarantine_.OnBroadcastEnd(exchange->request().body, write);
     exchange->Respond(understood ? kOk : kBadRequest, {}, "");
     return;
   }
--- a/source/sidecar/interrupted_requests.h
+++ b/source/sidecar/interrupted_requests.h
@@ -29,7 +29,7 @@
  public:
   void Add(InterruptedRequest request);
   // The worker has ended: those of its requests that were at work then; forgets all of them.
-  std::vector<InterruptedRequest> TakeAtWork(Instant now, const std::string& worker_id);
+  std::vector<InterruptedRequest> TakeInFlight(Instant now, const std::string& worker_id);
 
  private:
   std::deque<InterruptedRequest> requests_;  // By `interrupted_at`.
--- a/source/sidecar/request_flow.cc
+++ b/source/sidecar/request_flow.cc
@@ -120,7 +120,7 @@
     OnTimer();
     return;
   }
-  if (context_.quarantine.watches_any() &&
+  if (context_.quarantine.has_suspects() &&
       context_.quarantine.ClearanceOf(Fingerprint()) == Clearance::kQuarantined && !trial_) {
     RefuseQuarantined();
     return;
--- a/source/sidecar/request_flow_quarantine.cc
+++ b/source/sidecar/request_flow_quarantine.cc
@@ -21,11 +21,11 @@
 // it would reach every worker of the service, as many as it may be tried at, with each try.
 bool RequestFlow::MayEndWorkers() {
   return trial_ ||
-         (context_.quarantine.watches_any() && context_.quarantine.IsSuspect(Fingerprint()));
+         (context_.quarantine.has_suspects() && context_.quarantine.IsSuspect(Fingerprint()));
 }
 
 bool RequestFlow::StopForQuarantine(const std::string& node, const std::string& worker_id) {
-  if (trial_ || !context_.quarantine.watches_any()) return false;
+  if (trial_ || !context_.quarantine.has_suspects()) return false;
   switch (context_.quarantine.ClearanceOf(Fingerprint())) {
     case Clearance::kFree:
       return false;
@@ -71,13 +71,13 @@
 }
 
 void RequestFlow::NoteGoodRun(int status) {
-  if (!context_.quarantine.watches_any() || status == kGatewayTimeout) return;
+  if (!context_.quarantine.has_suspects() || status == kGatewayTimeout) return;
   context_.quarantine.OnGoodRun(Fingerprint());
 }
 
 // The node beside the worker may have run no request like it, and hold all ends against it.
 uint32_t RequestFlow::ExcusedEnds() {
-  if (!context_.quarantine.watches_any()) return 0;
+  if (!context_.quarantine.has_suspects()) return 0;
   return static_cast<uint32_t>(context_.quarantine.ExcusedEnds(Fingerprint()));
 }
 
@@ -86,7 +86,7 @@
   const bool broken =
       failure.reason == FailureReason::kBroken || failure.reason == FailureReason::kIncomplete;
   if (!broken || last_worker_.empty() || node == context_.settings.node_name) return;
-  context_.quarantine.OnAttemptBroken(node, last_worker_, Fingerprint());
+  context_.quarantine.OnAttemptInterrupted(node, last_worker_, Fingerprint());
 }
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/request_quarantine.cc
+++ b/source/sidecar/request_quarantine.cc
@@ -21,30 +21,30 @@
 constexpr Duration kWriteRetry = std::chrono::milliseconds(250);
 // A write takes some 10 to 40 ms, an unanswered one up to 1.8 s: for that long only this node would
 // know of the end.
-constexpr Duration kToldAfter = std::chrono::milliseconds(250);
+constexpr Duration kBroadcastDelay = std::chrono::milliseconds(250);
 // A change of the state has come back to its writer by then, as a rule. Where it has not, the
 // others may not have heard of it either.
-constexpr Duration kSeenAfter = std::chrono::seconds(1);
-// Nodes that were told of an end write it at different times: the first one's item spares the
+constexpr Duration kWatchDelay = std::chrono::seconds(1);
+// Nodes that were broadcast of an end write it at different times: the first one's item spares the
 // others theirs.
-constexpr Duration kToldWriteMin = std::chrono::milliseconds(250);
-constexpr Duration kToldWriteMax = std::chrono::milliseconds(1500);
+constexpr Duration kReceivedWriteDelayMin = std::chrono::milliseconds(250);
+constexpr Duration kReceivedWriteDelayMax = std::chrono::milliseconds(1500);
 // How often attempts that broke off are looked at.
 constexpr Duration kWitnessInterval = std::chrono::milliseconds(250);
 // Callers of a request that is at work in the worker it would go to: about as long as it runs.
-constexpr Duration kAtWorkRetryAfter = std::chrono::milliseconds(150);
+constexpr Duration kInFlightRetryAfter = std::chrono::milliseconds(150);
 // Longer than the store is away on bad days; the end is known at this node all the same.
-constexpr Duration kWriteGivenUp = std::chrono::seconds(60);
+constexpr Duration kWriteTimeout = std::chrono::seconds(60);
 // A trial is counted with two calls to the store, some 10 to 40 ms each. Callers do not wait for a
 // store that has fallen silent, which takes up to 3.6 s to show.
-constexpr Duration kTrialDecision = std::chrono::milliseconds(300);
+constexpr Duration kTrialDecisionTimeout = std::chrono::milliseconds(300);
 // Callers that were refused because a trial had just begun come back once it is over.
-constexpr Duration kTrialSpread = std::chrono::milliseconds(150);
+constexpr Duration kTrialRetryAfter = std::chrono::milliseconds(150);
 // Callers come back no earlier while trials cannot be counted: the store is away for seconds.
-constexpr Duration kStoreAwayRetryAfter = std::chrono::seconds(1);
-// Callers of a request that no trial will be made of are told the longest.
+constexpr Duration kStoreUnavailableRetryAfter = std::chrono::seconds(1);
+// Callers of a request that no trial will be made of are broadcast the longest.
 constexpr Duration kLongRetryAfter = std::chrono::seconds(30);
-constexpr int kReleaseTries = 4;
+constexpr int kMaxReleaseAttempts = 4;
 // The store takes keys of up to 200 bytes.
 constexpr size_t kMaxKeyBytes = 190;
 
@@ -82,17 +82,17 @@
   if (item.key.starts_with(kWorkerEndPrefix)) {
     const auto end = WorkerEnd::Parse(item.value);
     if (!end.has_value() || EndKey(end->worker_id, end->node) != item.key) return false;
-    TakeEndItem(item, *end);
+    ApplyEndItem(item, *end);
     return true;
   }
   const auto request = RequestFingerprint::Parse(NameAfter(item.key, kQuarantinePrefix));
   const auto quarantine = QuarantineItem::Parse(item.value);
   if (!request.has_value() || !quarantine.has_value()) return false;
-  TakeQuarantineItem(*request, *quarantine, item);
+  ApplyQuarantineItem(*request, *quarantine, item);
   return true;
 }
 
-void RequestQuarantine::TakeEnd(const WorkerEnd& end) {
+void RequestQuarantine::ApplyEnd(const WorkerEnd& end) {
   for (const RequestFingerprint& request : record_.OnWorkerEnd(end.worker_id, end.requests)) {
     log_.Write(LogLevel::kWarning, "request_quarantined",
                {{"fingerprint", request.ToString()},
@@ -102,8 +102,8 @@
   }
 }
 
-void RequestQuarantine::TakeQuarantineItem(const RequestFingerprint& request,
-                                           const QuarantineItem& item, const store::Item& stored) {
+void RequestQuarantine::ApplyQuarantineItem(const RequestFingerprint& request,
+                                            const QuarantineItem& item, const store::Item& stored) {
   record_.OnQuarantine(loop_.Now(), request, item, stored.revision);
   log_.Write(LogLevel::kWarning, item.released ? "request_released" : "request_in_quarantine",
              {{"fingerprint", request.ToString()},
@@ -112,19 +112,19 @@
               {"workers", absl::StrJoin(item.worker_ids, ",")},
               {"revision", store::RevisionText(stored.revision)}});
   if (item.released) {
-    seen_.erase(request);
+    lease_renewals_.erase(request);
     return;
   }
-  seen_[request] = {stored.lease, loop_.Now() + random_.Between(kRenewMin, kRenewMax)};
+  lease_renewals_[request] = {stored.lease, loop_.Now() + random_.Between(kRenewMin, kRenewMax)};
   if (record_.KnownGood(request)) Release(request);
 }
 
-bool RequestQuarantine::IsWhole(const WorkerEnd& end) const {
+bool RequestQuarantine::IsComplete(const WorkerEnd& end) const {
   return record_.RequestsOf(end.worker_id).size() == end.requests.size();
 }
 
-void RequestQuarantine::TakeEndItem(const store::Item& item, const WorkerEnd& end) {
-  TakeEnd(end);
+void RequestQuarantine::ApplyEndItem(const store::Item& item, const WorkerEnd& end) {
+  ApplyEnd(end);
   end_items_[item.key] = end.worker_id;
   const auto found = pending_ends_.find(end.worker_id);
   if (found == pending_ends_.end()) return;
@@ -136,10 +136,10 @@
     return;
   }
   // This node has written it, or another one.
-  if (IsWhole(end)) {
+  if (IsComplete(end)) {
     pending_ends_.erase(found);
   } else if (own && item.revision >= pending.written) {
-    // More of its requests have been told of since.
+    // More of its requests have been broadcast of since.
     pending.written = 0;
   }
 }
@@ -157,23 +157,23 @@
   }
   const auto request = RequestFingerprint::Parse(NameAfter(key, kQuarantinePrefix));
   if (!request.has_value()) return;
-  seen_.erase(*request);
+  lease_renewals_.erase(*request);
   record_.OnQuarantineLapsed(*request);
   log_.Write(LogLevel::kInfo, "quarantine_lapsed", {{"fingerprint", request->ToString()}});
 }
 
 void RequestQuarantine::OnStoreRestored() {
   lease_ = 0;
-  for (auto& [request, seen] : seen_) seen.lease = 0;
+  for (auto& [request, seen] : lease_renewals_) seen.lease = 0;
   for (auto& [worker_id, pending] : pending_ends_) pending.written = 0;
   WritePending();
 }
 
 void RequestQuarantine::OnWorkerEnded(const std::string& worker_id,
-                                      const std::vector<InterruptedRequest>& at_work) {
+                                      const std::vector<InterruptedRequest>& in_flight) {
   WorkerEnd end{worker_id, node_, {}};
-  for (const InterruptedRequest& request : at_work) end.requests.push_back(request.fingerprint);
-  TakeEnd(end);
+  for (const InterruptedRequest& request : in_flight) end.requests.push_back(request.fingerprint);
+  ApplyEnd(end);
   AddPendingEnd(worker_id, {loop_.Now(), node_});
 }
 
@@ -182,8 +182,8 @@
   WritePending();
 }
 
-void RequestQuarantine::OnAttemptBroken(const std::string& node, const std::string& worker_id,
-                                        const RequestFingerprint& request) {
+void RequestQuarantine::OnAttemptInterrupted(const std::string& node, const std::string& worker_id,
+                                             const RequestFingerprint& request) {
   unresolved_.Add(loop_.Now(), {node, worker_id, request});
   if (!witness_timer_.active()) witness_timer_.Start(kWitnessInterval);
 }
@@ -202,7 +202,7 @@
                {{"worker", attempt.worker_id},
                 {"beside", attempt.node},
                 {"fingerprint", attempt.request.ToString()}});
-    TakeEnd({attempt.worker_id, node_, {attempt.request}});
+    ApplyEnd({attempt.worker_id, node_, {attempt.request}});
     AddPendingEnd(attempt.worker_id, {loop_.Now(), node_});
   }
   if (!unresolved_.empty()) witness_timer_.Start(kWitnessInterval);
@@ -218,16 +218,16 @@
   for (auto entry = pending_ends_.begin(); entry != pending_ends_.end();) {
     PendingEnd& pending = entry->second;
     const bool written = pending.written != 0;
-    if (now - pending.since > kWriteGivenUp) {
+    if (now - pending.since > kWriteTimeout) {
       if (!written) {
         log_.Write(LogLevel::kError, "worker_end_not_told", {{"worker", entry->first}});
       }
       entry = pending_ends_.erase(entry);
       continue;
     }
-    const Duration told_after = written ? kSeenAfter : kToldAfter;
+    const Duration broadcast_after = written ? kWatchDelay : kBroadcastDelay;
     const bool waits = pending.writing || written;
-    if (waits && now - pending.since >= told_after) TellOthers(entry->first, &pending);
+    if (waits && now - pending.since >= broadcast_after) BroadcastEnd(entry->first, &pending);
     if (!waits && now >= pending.not_before) {
       pending.writing = true;
       WriteEnd(entry->first, pending.witness);
@@ -260,8 +260,8 @@
   PendingEnd& pending = found->second;
   pending.writing = false;
   // It is written again when the store has gone back meanwhile, or more of its requests have been
-  // told of.
-  if (store::EraOf(revision) < store_.era() || !IsWhole(end)) return;
+  // broadcast of.
+  if (store::EraOf(revision) < store_.era() || !IsComplete(end)) return;
   pending.written = revision;
   if (pending.seen >= revision) pending_ends_.erase(found);
 }
@@ -270,25 +270,27 @@
   const auto pending = pending_ends_.find(worker_id);
   if (pending == pending_ends_.end()) return;
   pending->second.writing = false;
-  TellOthers(worker_id, &pending->second);
+  BroadcastEnd(worker_id, &pending->second);
   if (pending->second.witness == node_) return;
-  pending->second.not_before = loop_.Now() + random_.Between(kToldWriteMin, kToldWriteMax);
+  pending->second.not_before =
+      loop_.Now() + random_.Between(kReceivedWriteDelayMin, kReceivedWriteDelayMax);
 }
 
-void RequestQuarantine::TellOthers(const std::string& worker_id, PendingEnd* pending) {
-  if (std::exchange(pending->told, true) || !tell_others_) return;
+void RequestQuarantine::BroadcastEnd(const std::string& worker_id, PendingEnd* pending) {
+  if (std::exchange(pending->broadcast, true) || !broadcast_end_) return;
   const WorkerEnd end{worker_id, pending->witness, record_.RequestsOf(worker_id)};
-  tell_others_(end.Serialize());
+  broadcast_end_(end.Serialize());
 }
 
-bool RequestQuarantine::OnToldEnd(const std::string& message, bool write) {
+bool RequestQuarantine::OnBroadcastEnd(const std::string& message, bool write) {
   const auto end = WorkerEnd::Parse(message);
   if (!end.has_value()) return false;
-  TakeEnd(*end);
+  ApplyEnd(*end);
   if (!write) return true;
   const Instant now = loop_.Now();
-  PendingEnd pending{now, end->node, now + random_.Between(kToldWriteMin, kToldWriteMax)};
-  pending.told = true;
+  PendingEnd pending{now, end->node,
+                     now + random_.Between(kReceivedWriteDelayMin, kReceivedWriteDelayMax)};
+  pending.broadcast = true;
   AddPendingEnd(end->worker_id, pending);
   return true;
 }
@@ -312,8 +314,9 @@
 
 Duration RequestQuarantine::OnRefused(const RequestFingerprint& request) {
   ++refusals_;
-  const auto seen = seen_.find(request);
-  if (seen != seen_.end() && seen->second.lease != 0 && loop_.Now() >= seen->second.renew_at) {
+  const auto seen = lease_renewals_.find(request);
+  if (seen != lease_renewals_.end() && seen->second.lease != 0 &&
+      loop_.Now() >= seen->second.renew_at) {
     seen->second.renew_at = loop_.Now() + random_.Between(kRenewMin, kRenewMax);
     store_.KeepLease(seen->second.lease, [this, request](const absl::Status& status) {
       if (status.ok()) return;
@@ -321,9 +324,9 @@
                  {{"fingerprint", request.ToString()}, {"reason", std::string(status.message())}});
     });
   }
-  if (!record_.IsQuarantined(request)) return kAtWorkRetryAfter;
+  if (!record_.IsQuarantined(request)) return kInFlightRetryAfter;
   const Duration until = record_.UntilTrial(loop_.Now(), request).value_or(kLongRetryAfter);
-  return std::max(until, CanCountTrials() ? kTrialSpread : kStoreAwayRetryAfter);
+  return std::max(until, CanCountTrials() ? kTrialRetryAfter : kStoreUnavailableRetryAfter);
 }
 
 void RequestQuarantine::BeginTrial(const RequestFingerprint& request,
@@ -334,10 +337,10 @@
   const auto decided = std::make_shared<bool>(false);
   const auto timer = std::make_shared<event::Timer>(loop_, [this, decided, callback] {
     *decided = true;
-    no_trials_until_ = loop_.Now() + kStoreAwayRetryAfter;
+    no_trials_until_ = loop_.Now() + kStoreUnavailableRetryAfter;
     callback(false);
   });
-  timer->Start(kTrialDecision);
+  timer->Start(kTrialDecisionTimeout);
   Commit(request, change, [this, request, decided, timer, callback](bool committed) {
     timer->Stop();
     if (std::exchange(*decided, true)) {
@@ -359,7 +362,7 @@
 }
 
 void RequestQuarantine::Release(const RequestFingerprint& request) {
-  pending_releases_.try_emplace(request, PendingRelease{kReleaseTries, false});
+  pending_releases_.try_emplace(request, PendingRelease{kMaxReleaseAttempts, false});
   WritePending();
 }
 
@@ -370,7 +373,7 @@
     PendingRelease& release = entry->second;
     ++entry;
     if (release.writing) continue;
-    if (release.tries_left-- == 0 || !record_.KnownGood(request) ||
+    if (release.attempts_left-- == 0 || !record_.KnownGood(request) ||
         record_.ReleaseIsKnown(request)) {
       pending_releases_.erase(request);
       continue;
--- a/source/sidecar/request_quarantine.h
+++ b/source/sidecar/request_quarantine.h
@@ -41,17 +41,17 @@
   void OnStoreRestored();
 
   // Ends that the fleet knew of may be forgotten.
-  void SetMayHaveForgotten(bool may_have_forgotten) {
-    record_.SetMayHaveForgotten(may_have_forgotten);
+  void SetHistoryMayBeIncomplete(bool history_may_be_incomplete) {
+    record_.SetHistoryMayBeIncomplete(history_may_be_incomplete);
   }
 
   // Tells all other nodes of a worker's end while the store does not take it: this process may be
   // gone before the store is back.
-  using EndTeller = std::function<void(const std::string& message)>;
-  void set_end_teller(EndTeller teller) { tell_others_ = std::move(teller); }
-  // Another node told of an end; false when that cannot be read. `write`: it is to be written to
-  // the store by this node as well.
-  bool OnToldEnd(const std::string& message, bool write);
+  using EndBroadcaster = std::function<void(const std::string& message)>;
+  void set_end_broadcaster(EndBroadcaster broadcaster) { broadcast_end_ = std::move(broadcaster); }
+  // Another node broadcast of an end; false when that cannot be read. `write`: it is to be written
+  // to the store by this node as well.
+  bool OnBroadcastEnd(const std::string& message, bool write);
 
   // Told of each change of a quarantine that this node has made: the store has acknowledged it, and
   // no watch has brought it yet.
@@ -59,15 +59,16 @@
   void set_on_written(WriteObserver observer) { on_written_ = std::move(observer); }
 
   // The worker beside this node ended.
-  void OnWorkerEnded(const std::string& worker_id, const std::vector<InterruptedRequest>& at_work);
+  void OnWorkerEnded(const std::string& worker_id,
+                     const std::vector<InterruptedRequest>& in_flight);
   // A try at the worker beside another node broke off, and the request may have run.
-  void OnAttemptBroken(const std::string& node, const std::string& worker_id,
-                       const RequestFingerprint& request);
+  void OnAttemptInterrupted(const std::string& node, const std::string& worker_id,
+                            const RequestFingerprint& request);
   // This worker is beside the node now.
   void OnWorkerAt(const std::string& node, const std::string& worker_id);
 
   // False: no request needs to be looked at.
-  bool watches_any() const { return !record_.empty(); }
+  bool has_suspects() const { return !record_.empty(); }
   Clearance ClearanceOf(const RequestFingerprint& request) const {
     return record_.ClearanceOf(loop_.Now(), request);
   }
@@ -107,7 +108,7 @@
     bool writing = false;
     store::Revision written = 0;  // Acknowledged with this revision; zero: to be written.
     store::Revision seen = 0;     // The latest that came of its item while it was written.
-    bool told = false;            // To the other nodes, in place of the store.
+    bool broadcast = false;       // To the other nodes, in place of the store.
   };
 
   // Writes what is not in the store yet.
@@ -117,12 +118,12 @@
   void WriteEnd(const std::string& worker_id, const std::string& witness);
   void OnEndWritten(const WorkerEnd& end, store::Revision revision);
   void OnEndNotWritten(const std::string& worker_id);
-  void TellOthers(const std::string& worker_id, PendingEnd* pending);
+  void BroadcastEnd(const std::string& worker_id, PendingEnd* pending);
   void AddPendingEnd(const std::string& worker_id, const PendingEnd& pending);
   // All requests of the end that are known here are in `end`.
-  bool IsWhole(const WorkerEnd& end) const;
+  bool IsComplete(const WorkerEnd& end) const;
   // The store's item of an end.
-  void TakeEndItem(const store::Item& item, const WorkerEnd& end);
+  void ApplyEndItem(const store::Item& item, const WorkerEnd& end);
   // Counts the ends that broken attempts tell of, once the node beside the worker had its time.
   void CountWitnessedEnds();
   // Calls back with a lease of the present era that lasts for minutes, or with zero when there is
@@ -132,16 +133,16 @@
   void Commit(const RequestFingerprint& request, const CrashRecord::Change& change,
               std::function<void(bool)> callback);
   void Release(const RequestFingerprint& request);
-  void TakeQuarantineItem(const RequestFingerprint& request, const QuarantineItem& item,
-                          const store::Item& stored);
-  void TakeEnd(const WorkerEnd& end);
+  void ApplyQuarantineItem(const RequestFingerprint& request, const QuarantineItem& item,
+                           const store::Item& stored);
+  void ApplyEnd(const WorkerEnd& end);
 
   event::EventLoop& loop_;
   store::StoreClient& store_;
   Random& random_;
   LogWriter& log_;
   std::string node_;
-  EndTeller tell_others_;
+  EndBroadcaster broadcast_end_;
   WriteObserver on_written_;
   CrashRecord record_;
   std::map<std::string, PendingEnd> pending_ends_;  // By worker.
@@ -149,19 +150,19 @@
   UnresolvedAttempts unresolved_;
   event::Timer witness_timer_;
   struct PendingRelease {
-    int tries_left = 0;
+    int attempts_left = 0;
     bool writing = false;
   };
   std::map<RequestFingerprint, PendingRelease> pending_releases_;
   event::Timer write_timer_;
   store::LeaseId lease_ = 0;
   Instant lease_taken_at_{};
-  struct SeenItem {
+  struct LeaseRenewal {
     store::LeaseId lease = 0;
     Instant renew_at{};
   };
-  std::map<RequestFingerprint, SeenItem> seen_;  // Of those in quarantine.
-  Instant no_trials_until_{};                    // The store did not answer the latest one in time.
+  std::map<RequestFingerprint, LeaseRenewal> lease_renewals_;  // Of those in quarantine.
+  Instant no_trials_until_{};  // The store did not answer the latest one in time.
   uint64_t refusals_ = 0;
   uint64_t trials_ = 0;
 };
--- a/source/sidecar/sidecar.cc
+++ b/source/sidecar/sidecar.cc
@@ -114,7 +114,7 @@
   gate_.set_evidence(&monitor_);
   gate_.set_quarantine(&quarantine_);
   memory_.set_on_changed([this] { OnMemoryChanged(); });
-  quarantine_.set_end_teller([this](const std::string& message) { TellOthers(message); });
+  quarantine_.set_end_broadcaster([this](const std::string& message) { TellOthers(message); });
   quarantine_.set_on_written([this](const store::Item& item) { OnQuarantineWritten(item); });
   gate_.set_rate_source([this](const std::string& caller_class) { return RateOf(caller_class); });
   for (http::ConnectionPool* pool : {&pool_, &order_pool_}) {
@@ -379,7 +379,7 @@
     return;
   }
   if (FormerGrants::IsItemKey(item.key)) return former_grants_.OnItem(item);
-  if (MemoryRecord::IsItemKey(item.key)) {
+  if (CrashHistoryRecord::IsItemKey(item.key)) {
     if (!memory_.OnItem(item)) RefuseItem(item, "no record of the fleet's memory");
     return;
   }
@@ -411,7 +411,7 @@
   if (!node.empty()) peers_.OnRemoved(loop_.Now(), node);
   shard_store_.OnRemoved(key);
   if (RequestQuarantine::IsItemKey(key)) quarantine_.OnRemoved(key);
-  if (MemoryRecord::IsItemKey(key)) memory_.OnRemoved(key);
+  if (CrashHistoryRecord::IsItemKey(key)) memory_.OnRemoved(key);
   if (FormerGrants::IsItemKey(key) && former_grants_.OnRemoved(key)) holder_.OnMapChanged();
   if (TableOverrides::IsCellKey(key)) {
     table_.OnRemoved(key);
@@ -427,19 +427,19 @@
   std::map<std::string, store::Item> former = change.former;
   std::erase_if(former, [](const auto& entry) {
     return !NameAfter(entry.first, kNodePrefix).empty() ||
-           !NameAfter(entry.first, kShardPrefix).empty() || MemoryRecord::IsItemKey(entry.first) ||
-           FormerGrants::IsItemKey(entry.first);
+           !NameAfter(entry.first, kShardPrefix).empty() ||
+           CrashHistoryRecord::IsItemKey(entry.first) || FormerGrants::IsItemKey(entry.first);
   });
   lost_items_.OnEraBegan({former, change.present, change.revision}, memory_.ItemOfEra(era),
                          feed_.leading());
 }
 
 void Sidecar::OnMemoryChanged() {
-  const bool may_have_forgotten = memory_.MayHaveForgotten();
+  const bool may_have_forgotten = memory_.MayBeIncomplete();
   if (std::exchange(may_have_forgotten_, may_have_forgotten) == may_have_forgotten) return;
   log_.Write(LogLevel::kWarning, "worker_ends_maybe_forgotten",
              {{"forgotten", may_have_forgotten}, {"era", store_.era()}});
-  quarantine_.SetMayHaveForgotten(may_have_forgotten);
+  quarantine_.SetHistoryMayBeIncomplete(may_have_forgotten);
 }
 
 void Sidecar::OnQuarantineWritten(const store::Item& item) {
@@ -479,7 +479,7 @@
 // Which requests end their workers can be told from these lines alone: it is at work under each
 // end.
 void Sidecar::OnWorkerEnded(const std::string& worker_id) {
-  const auto at_work = gate_.TakeAtWork(worker_id);
+  const auto at_work = gate_.TakeInFlight(worker_id);
   if (at_work.empty()) return;
   log_.Write(LogLevel::kWarning, "worker_ended_at_work",
              {{"worker", worker_id}, {"requests", at_work.size()}});
--- a/source/sidecar/sidecar.h
+++ b/source/sidecar/sidecar.h
@@ -11,12 +11,12 @@
 #include "source/http/call_set.h"
 #include "source/http/client.h"
 #include "source/http/server.h"
+#include "source/sidecar/crash_history_record.h"
 #include "source/sidecar/former_grants.h"
 #include "source/sidecar/inbound_handler.h"
 #include "source/sidecar/ingress.h"
 #include "source/sidecar/log_writer.h"
 #include "source/sidecar/lost_items.h"
-#include "source/sidecar/memory_record.h"
 #include "source/sidecar/node_metrics.h"
 #include "source/sidecar/peer_directory.h"
 #include "source/sidecar/request_quarantine.h"
@@ -143,7 +143,7 @@
   ShardCoordinator coordinator_;
   store::LeaseKeeper lease_;
   LostItemWriter lost_items_;
-  MemoryRecord memory_;
+  CrashHistoryRecord memory_;
   store::PrefixWatcher configuration_watcher_;
   store::PrefixWatcher state_watcher_;
   StateFeed feed_;
--- a/source/sidecar/worker_gate.cc
+++ b/source/sidecar/worker_gate.cc
@@ -357,7 +357,7 @@
 }
 
 bool WorkerGate::Quarantined(const AttemptRequest& request) const {
-  if (quarantine_ == nullptr || !quarantine_->watches_any()) return false;
+  if (quarantine_ == nullptr || !quarantine_->has_suspects()) return false;
   const RequestFingerprint fingerprint = FingerprintOfAttempt(request);
   // What the node that took the request has seen run well is as good as a run here.
   if (!quarantine_->IsSuspect(fingerprint, request.excused_ends)) return false;
@@ -374,7 +374,7 @@
 }
 
 void WorkerGate::NoteGoodRun(const AttemptRequest& request, int status) {
-  if (quarantine_ == nullptr || !quarantine_->watches_any() || status == kGatewayTimeout) return;
+  if (quarantine_ == nullptr || !quarantine_->has_suspects() || status == kGatewayTimeout) return;
   quarantine_->OnGoodRun(FingerprintOfAttempt(request));
 }
 
--- a/source/sidecar/worker_gate.h
+++ b/source/sidecar/worker_gate.h
@@ -88,8 +88,8 @@
   bool Runs(const std::string& request_id) const { return running_ids_.contains(request_id); }
   size_t running() const { return queue_.running(); }
   // The worker has ended: the requests that were at work in it then. Each is told once.
-  std::vector<InterruptedRequest> TakeAtWork(const std::string& worker_id) {
-    return interrupted_.TakeAtWork(loop_.Now(), worker_id);
+  std::vector<InterruptedRequest> TakeInFlight(const std::string& worker_id) {
+    return interrupted_.TakeInFlight(loop_.Now(), worker_id);
   }
 
  private:
--- a/tests/sidecar/crash_items_test.cc
+++ b/tests/sidecar/crash_items_test.cc
@@ -8,14 +8,14 @@
 
 namespace {
 
-const char kPrint[] = "0123456789abcdef0123456789abcdef";
+const char kFingerprint[] = "0123456789abcdef0123456789abcdef";
 
 }  // namespace
 
 TEST_GROUP(CrashItems){};
 
 TEST(CrashItems, AnEndIsReadAsItWasWritten) {
-  const WorkerEnd end{"i-1@17", "n1", {*RequestFingerprint::Parse(kPrint)}};
+  const WorkerEnd end{"i-1@17", "n1", {*RequestFingerprint::Parse(kFingerprint)}};
   const auto read = WorkerEnd::Parse(end.Serialize());
   CHECK(read.has_value());
   STRCMP_EQUAL("i-1@17", read->worker_id.c_str());
@@ -37,7 +37,7 @@
 
 // Other writers may put anything under these keys.
 TEST(CrashItems, WhatIsBrokenIsRefusedWhole) {
-  const std::string print = std::string("\"") + kPrint + "\"";
+  const std::string fingerprint = std::string("\"") + kFingerprint + "\"";
   for (const std::string& text :
        {std::string(), std::string("\xff\xfe"), std::string("[]"), std::string("7"),
         std::string(R"({"worker":"w","node":"n"})"),
@@ -45,7 +45,7 @@
         std::string(R"({"worker":7,"node":"n","requests":[]})"),
         std::string(R"({"worker":"w","node":"n","requests":"x"})"),
         std::string(R"({"worker":"w","node":"n","requests":["x"]})"),
-        std::string(R"({"worker":"w","node":"n","requests":[)") + print + ",7]}",
+        std::string(R"({"worker":"w","node":"n","requests":[)") + fingerprint + ",7]}",
         std::string(5000, '[')}) {
     CHECK_TEXT(!WorkerEnd::Parse(text).has_value(), text.c_str());
   }
--- a/tests/sidecar/interrupted_requests_test.cc
+++ b/tests/sidecar/interrupted_requests_test.cc
@@ -34,18 +34,18 @@
   requests.Add(Make("other", milliseconds(0), milliseconds(90), "w2"));
   requests.Add(Make("a", milliseconds(0), milliseconds(100)));
   requests.Add(Make("b", milliseconds(50), milliseconds(101)));
-  STRCMP_EQUAL("a b ", Ids(requests.TakeAtWork(kStart + milliseconds(110), "w1")).c_str());
-  STRCMP_EQUAL("", Ids(requests.TakeAtWork(kStart + milliseconds(111), "w1")).c_str());
+  STRCMP_EQUAL("a b ", Ids(requests.TakeInFlight(kStart + milliseconds(110), "w1")).c_str());
+  STRCMP_EQUAL("", Ids(requests.TakeInFlight(kStart + milliseconds(111), "w1")).c_str());
 }
 
 TEST(InterruptedRequests, WhatWasSentToAWorkerThatWasGoneIsNotTold) {
   requests.Add(Make("a", milliseconds(0), milliseconds(100)));
   requests.Add(Make("late", milliseconds(102), milliseconds(103)));
-  STRCMP_EQUAL("a ", Ids(requests.TakeAtWork(kStart + milliseconds(130), "w1")).c_str());
+  STRCMP_EQUAL("a ", Ids(requests.TakeInFlight(kStart + milliseconds(130), "w1")).c_str());
   // Nor what came after the end was noticed.
   requests.Add(Make("later", milliseconds(160), milliseconds(161)));
   requests.Add(Make("read late", milliseconds(20), milliseconds(170)));
-  STRCMP_EQUAL("read late ", Ids(requests.TakeAtWork(kStart + milliseconds(180), "w1")).c_str());
+  STRCMP_EQUAL("read late ", Ids(requests.TakeInFlight(kStart + milliseconds(180), "w1")).c_str());
 }
 
 // The one that ended the worker was sent a moment before that; a caller of another one had left
@@ -56,34 +56,34 @@
   requests.Add(left);
   requests.Add(Make("reset", milliseconds(0), milliseconds(60)));
   requests.Add(Make("a", milliseconds(10), milliseconds(100)));
-  requests.Add(Make("guilty", milliseconds(90), milliseconds(101)));
-  STRCMP_EQUAL("left reset a guilty ",
-               Ids(requests.TakeAtWork(kStart + milliseconds(110), "w1")).c_str());
+  requests.Add(Make("poison", milliseconds(90), milliseconds(101)));
+  STRCMP_EQUAL("left reset a poison ",
+               Ids(requests.TakeInFlight(kStart + milliseconds(110), "w1")).c_str());
 }
 
 // A connection that the worker reset seconds before its end says nothing of the end.
 TEST(InterruptedRequests, WhatBrokeLongBeforeTheEndIsNotTold) {
   requests.Add(Make("reset", milliseconds(0), milliseconds(10)));
   requests.Add(Make("a", milliseconds(900), milliseconds(1000)));
-  STRCMP_EQUAL("a ", Ids(requests.TakeAtWork(kStart + milliseconds(1010), "w1")).c_str());
+  STRCMP_EQUAL("a ", Ids(requests.TakeInFlight(kStart + milliseconds(1010), "w1")).c_str());
 }
 
 // The only one at work, and its caller did not wait for the end.
 TEST(InterruptedRequests, ACallerThatLeftAMomentBeforeTheEndHidesNothing) {
-  InterruptedRequest left = Make("guilty", milliseconds(0), milliseconds(50));
+  InterruptedRequest left = Make("poison", milliseconds(0), milliseconds(50));
   left.by_caller = true;
   requests.Add(left);
-  STRCMP_EQUAL("guilty ", Ids(requests.TakeAtWork(kStart + milliseconds(150), "w1")).c_str());
+  STRCMP_EQUAL("poison ", Ids(requests.TakeInFlight(kStart + milliseconds(150), "w1")).c_str());
 }
 
 TEST(InterruptedRequests, NothingIsToldOfWhatIsLongPast) {
   requests.Add(Make("a", milliseconds(0), milliseconds(100)));
-  STRCMP_EQUAL("", Ids(requests.TakeAtWork(kStart + milliseconds(4200), "w1")).c_str());
+  STRCMP_EQUAL("", Ids(requests.TakeInFlight(kStart + milliseconds(4200), "w1")).c_str());
 }
 
 TEST(InterruptedRequests, IsBounded) {
   for (int index = 0; index < 1000; ++index) {
     requests.Add(Make(std::to_string(index), milliseconds(0), milliseconds(100)));
   }
-  CHECK_EQUAL(256U, requests.TakeAtWork(kStart + milliseconds(110), "w1").size());
+  CHECK_EQUAL(256U, requests.TakeInFlight(kStart + milliseconds(110), "w1").size());
 }
--- a/tests/sidecar/request_fingerprint_test.cc
+++ b/tests/sidecar/request_fingerprint_test.cc
@@ -19,7 +19,7 @@
   return request;
 }
 
-std::string Print(const http::Request& request) {
+std::string Fingerprint(const http::Request& request) {
   return FingerprintOf(request, std::nullopt).ToString();
 }
 
@@ -28,23 +28,23 @@
 TEST_GROUP(RequestFingerprint){};
 
 TEST(RequestFingerprint, ChangesWithWhatIsAskedAndByWhom) {
-  const std::string print = Print(Request());
+  const std::string fingerprint = Fingerprint(Request());
   http::Request other = Request();
   other.head.target = "/send/order?from=8";
-  CHECK(Print(other) != print);
+  CHECK(Fingerprint(other) != fingerprint);
   other = Request();
   other.head.method = "PUT";
-  CHECK(Print(other) != print);
+  CHECK(Fingerprint(other) != fingerprint);
   other = Request();
   other.body = "another";
-  CHECK(Print(other) != print);
+  CHECK(Fingerprint(other) != fingerprint);
   other = Request();
   other.head.headers.Set("Cookie", "caller=2");
-  CHECK(Print(other) != print);
+  CHECK(Fingerprint(other) != fingerprint);
   other = Request();
   other.head.headers.Set("Host", "other.example");
-  CHECK(Print(other) != print);
-  CHECK(FingerprintOf(Request(), 7).ToString() != print);
+  CHECK(Fingerprint(other) != fingerprint);
+  CHECK(FingerprintOf(Request(), 7).ToString() != fingerprint);
 }
 
 TEST(RequestFingerprint, StaysWithWhatIsNewEachTime) {
@@ -53,7 +53,7 @@
   again.head.headers.Add("Deadline-Ms", "900");
   again.head.headers.Add("Traceparent", "00-1-1-00");
   again.head.headers.Set("Host", "H.example");
-  STRCMP_EQUAL(Print(Request()).c_str(), Print(again).c_str());
+  STRCMP_EQUAL(Fingerprint(Request()).c_str(), Fingerprint(again).c_str());
 }
 
 // A field that ends where another one begins must not give the same bytes.
@@ -63,7 +63,7 @@
   left.head.headers.Add("Authorization", "ab");
   http::Request right = Request();
   right.head.headers.Set("Cookie", "ab");
-  CHECK(Print(left) != Print(right));
+  CHECK(Fingerprint(left) != Fingerprint(right));
 }
 
 // All nodes must agree, whatever they are built with.
@@ -71,14 +71,14 @@
   http::Request request;
   request.head.method = "GET";
   request.head.target = "/";
-  STRCMP_EQUAL("5082b49fc9f5b5058282f46f0e22fd77", Print(request).c_str());
+  STRCMP_EQUAL("5082b49fc9f5b5058282f46f0e22fd77", Fingerprint(request).c_str());
 }
 
 TEST(RequestFingerprint, ReadsOnlyWhatItWrote) {
-  const auto print = FingerprintOf(Request(), std::nullopt);
-  CHECK(RequestFingerprint::Parse(print.ToString()) == print);
+  const auto fingerprint = FingerprintOf(Request(), std::nullopt);
+  CHECK(RequestFingerprint::Parse(fingerprint.ToString()) == fingerprint);
   CHECK(!RequestFingerprint::Parse("").has_value());
-  CHECK(!RequestFingerprint::Parse(print.ToString() + "0").has_value());
+  CHECK(!RequestFingerprint::Parse(fingerprint.ToString() + "0").has_value());
   CHECK(!RequestFingerprint::Parse(std::string(32, 'G')).has_value());
 }
 
