--- a/source/event/file_watcher.cc
+++ b/source/event/file_watcher.cc
@@ -16,13 +16,13 @@
     : path_(std::move(path)),
       on_changed_(std::move(on_changed)),
       timer_(loop, [this] { Check(); }),
-      known_(ReadStamp()) {
+      known_version_(ReadVersion()) {
   timer_.Start(interval, /*repeating=*/true);
 }
 
-void FileWatcher::MarkKnown() { known_ = ReadStamp(); }
+void FileWatcher::MarkCurrent() { known_version_ = ReadVersion(); }
 
-FileWatcher::Stamp FileWatcher::ReadStamp() const {
+FileWatcher::FileVersion FileWatcher::ReadVersion() const {
   struct stat status {};
   if (stat(path_.c_str(), &status) != 0) return {};
   return {status.st_mtim.tv_sec * kNanosecondsPerSecond + status.st_mtim.tv_nsec, status.st_size,
@@ -30,9 +30,9 @@
 }
 
 void FileWatcher::Check() {
-  const Stamp now = ReadStamp();
-  if (now == known_ || now == Stamp{}) return;
-  known_ = now;
+  const FileVersion now = ReadVersion();
+  if (now == known_version_ || now == FileVersion{}) return;
+  known_version_ = now;
   on_changed_();
 }
 
--- a/source/event/file_watcher.h
+++ b/source/event/file_watcher.h
@@ -15,26 +15,26 @@
               Duration interval = std::chrono::seconds(2));
 
   // What is there now counts as known, for example because it was read on a signal.
-  void MarkKnown();
+  void MarkCurrent();
 
  private:
   // Tells one content of the file from another.
-  struct Stamp {
+  struct FileVersion {
     int64_t modified_ns = 0;
     int64_t size = 0;
     uint64_t identity = 0;
 
-    bool operator==(const Stamp&) const = default;
+    bool operator==(const FileVersion&) const = default;
   };
 
   // A zero stamp when there is no such file.
-  Stamp ReadStamp() const;
+  FileVersion ReadVersion() const;
   void Check();
 
   std::string path_;
   std::function<void()> on_changed_;
   Timer timer_;
-  Stamp known_;
+  FileVersion known_version_;
 };
 
 }  // namespace runshelf::event
--- a/source/event/loop_monitor.cc
+++ b/source/event/loop_monitor.cc
@@ -6,27 +6,27 @@
 
 struct LoopMonitor::Handle {
   uv_prepare_t prepare{};
-  std::function<void(Duration)> on_turn;
-  uint64_t turn_started_at = 0;  // In nanoseconds; zero: no turn was seen yet.
-  uint64_t idle_at_start = 0;    // Nanoseconds that the loop had waited by then.
+  std::function<void(Duration)> on_iteration;
+  uint64_t iteration_started_at = 0;  // In nanoseconds; zero: no turn was seen yet.
+  uint64_t idle_at_start = 0;         // Nanoseconds that the loop had waited by then.
 
   void OnBeforeWait() {
     const uint64_t now = uv_hrtime();
     const uint64_t idle = uv_metrics_idle_time(prepare.loop);
-    const uint64_t elapsed = now - turn_started_at;
+    const uint64_t elapsed = now - iteration_started_at;
     const uint64_t waited = idle - idle_at_start;
-    const bool measured = turn_started_at != 0;
-    turn_started_at = now;
+    const bool measured = iteration_started_at != 0;
+    iteration_started_at = now;
     idle_at_start = idle;
-    if (!measured || !on_turn) return;
+    if (!measured || !on_iteration) return;
     const uint64_t worked = elapsed > waited ? elapsed - waited : 0;
-    on_turn(std::chrono::duration_cast<Duration>(std::chrono::nanoseconds(worked)));
+    on_iteration(std::chrono::duration_cast<Duration>(std::chrono::nanoseconds(worked)));
   }
 };
 
-LoopMonitor::LoopMonitor(EventLoop& loop, std::function<void(Duration)> on_turn)
+LoopMonitor::LoopMonitor(EventLoop& loop, std::function<void(Duration)> on_iteration)
     : handle_(new Handle) {
-  handle_->on_turn = std::move(on_turn);
+  handle_->on_iteration = std::move(on_iteration);
   uv_prepare_init(loop.raw(), &handle_->prepare);
   handle_->prepare.data = handle_;
   uv_prepare_start(&handle_->prepare, [](uv_prepare_t* prepare) {
@@ -37,7 +37,7 @@
 }
 
 LoopMonitor::~LoopMonitor() {
-  handle_->on_turn = nullptr;
+  handle_->on_iteration = nullptr;
   uv_close(reinterpret_cast<uv_handle_t*>(&handle_->prepare),
            [](uv_handle_t* handle) { delete static_cast<Handle*>(handle->data); });
 }
--- a/source/event/loop_monitor.h
+++ b/source/event/loop_monitor.h
@@ -11,7 +11,7 @@
 // nothing else happens in the process: connections, health checks and timers wait.
 class LoopMonitor {
  public:
-  LoopMonitor(EventLoop& loop, std::function<void(Duration)> on_turn);
+  LoopMonitor(EventLoop& loop, std::function<void(Duration)> on_iteration);
   ~LoopMonitor();
   LoopMonitor(const LoopMonitor&) = delete;
   LoopMonitor& operator=(const LoopMonitor&) = delete;
--- a/source/event/tcp_stream.cc
+++ b/source/event/tcp_stream.cc
@@ -74,7 +74,7 @@
   std::string pending;  // To be written after it.
   bool connected = false;
   bool write_active = false;
-  bool shutdown_wanted = false;
+  bool shutdown_requested = false;
   bool ended = false;
   bool closed = false;
 
@@ -87,7 +87,7 @@
 
   // libuv takes a hang-up after a short read for an orderly end without reading once more, and a
   // reset hangs up too. The difference decides whether an answer without a length is complete.
-  bool ReallyClosed() const { return Peek() == 0; }
+  bool IsOrderlyClose() const { return Peek() == 0; }
 
   // What a read would return now: the number of bytes, zero at an orderly end, or -1 with errno.
   ssize_t Peek() const {
@@ -121,8 +121,8 @@
   }
 
   void MaybeShutdown() {
-    if (!shutdown_wanted || closed) return;
-    shutdown_wanted = false;
+    if (!shutdown_requested || closed) return;
+    shutdown_requested = false;
     shutdown.data = this;
     uv_shutdown(&shutdown, Stream(), [](uv_shutdown_t*, int) {});
   }
@@ -137,7 +137,7 @@
           auto* handle = static_cast<Handle*>(stream->data);
           if (handle->closed || count == 0) return;
           if (count == UV_EOF) {
-            handle->End(handle->ReallyClosed() ? StreamEnd::kClosed : StreamEnd::kReset);
+            handle->End(handle->IsOrderlyClose() ? StreamEnd::kClosed : StreamEnd::kReset);
           } else if (count < 0) {
             handle->End(StreamEnd::kReset);
           } else if (handle->observer != nullptr) {
@@ -226,18 +226,18 @@
   return handle_->pending.size() + (handle_->write_active ? handle_->writing.size() : 0);
 }
 
-bool TcpStream::PeerGone() const {
+bool TcpStream::PeerDisconnected() const {
   if (handle_->ended) return true;
   const ssize_t bytes = handle_->Peek();
   return bytes == 0 || (bytes < 0 && !WouldBlock(errno));
 }
 
-bool TcpStream::Quiet() const {
+bool TcpStream::IsIdleAndOpen() const {
   return !handle_->ended && handle_->Peek() < 0 && WouldBlock(errno);
 }
 
 void TcpStream::ShutdownWriting() {
-  handle_->shutdown_wanted = true;
+  handle_->shutdown_requested = true;
   if (!handle_->write_active) handle_->WritePending();
 }
 
--- a/source/event/tcp_stream.h
+++ b/source/event/tcp_stream.h
@@ -64,10 +64,10 @@
   size_t unsent_bytes() const;
   // The peer closed or broke the connection, which may not have been read yet while other events
   // are worked off. Costs a system call. False while unread bytes lie before the end.
-  bool PeerGone() const;
+  bool PeerDisconnected() const;
   // Nothing lies unread, and the peer has neither closed nor broken the connection. Costs a system
   // call.
-  bool Quiet() const;
+  bool IsIdleAndOpen() const;
   // Sends what is outstanding and then closes the writing side; reading goes on.
   void ShutdownWriting();
 
--- a/source/http/client.cc
+++ b/source/http/client.cc
@@ -71,7 +71,7 @@
   const event::Endpoint& endpoint() const { return endpoint_; }
   Instant made_at() const { return made_at_; }
   Instant heard_at() const { return heard_at_; }
-  bool PeerGone() const { return stream_ == nullptr || stream_->PeerGone(); }
+  bool PeerDisconnected() const { return stream_ == nullptr || stream_->PeerDisconnected(); }
   bool reused() const { return requests_ > 1; }
   const std::optional<std::string>& lane() const { return options_.answer_match.lane(); }
 
@@ -80,7 +80,7 @@
   bool MayCarry(const AnswerMatch& match) const {
     const bool repeated = match.by_value() && std::find(values_.begin(), values_.end(),
                                                         ValueHash(match)) != values_.end();
-    return !repeated && stream_ != nullptr && stream_->Quiet();
+    return !repeated && stream_ != nullptr && stream_->IsIdleAndOpen();
   }
 
   void Begin(std::string_view request, const CallOptions& options, ResponseObserver* observer) {
@@ -376,7 +376,7 @@
   if (found == made_.end()) return false;
   return std::any_of(found->second.begin(), found->second.end(), [&](const auto* connection) {
     return connection->made_at() <= made_by && connection->heard_at() >= heard_from &&
-           !connection->PeerGone();
+           !connection->PeerDisconnected();
   });
 }
 
--- a/source/http/server.cc
+++ b/source/http/server.cc
@@ -32,7 +32,8 @@
 
 bool ServerExchange::client_gone() const {
   const auto connection = connection_.lock();
-  return connection == nullptr || connection->stream_ == nullptr || connection->stream_->PeerGone();
+  return connection == nullptr || connection->stream_ == nullptr ||
+         connection->stream_->PeerDisconnected();
 }
 
 void ServerExchange::Respond(int status, const Headers& headers, std::string_view body) {
--- a/tests/event/event_loop_test.cc
+++ b/tests/event/event_loop_test.cc
@@ -74,7 +74,7 @@
 // Guards against a loop that stands still over one event, and of which nothing shows it.
 TEST(EventLoop, ALongTurnIsMeasuredAndWaitingIsNot) {
   Duration longest{0};
-  LoopMonitor monitor(loop, [&](Duration turn) { longest = std::max(longest, turn); });
+  LoopMonitor monitor(loop, [&](Duration busy_time) { longest = std::max(longest, busy_time); });
   RunFor(loop, std::chrono::milliseconds(60));
   const Duration longest_without_work = longest;
   Timer busy(loop, [&] {
--- a/tests/event/file_watcher_test.cc
+++ b/tests/event/file_watcher_test.cc
@@ -38,7 +38,7 @@
   event::FileWatcher watcher(
       loop, path, [this] { ++changes; }, std::chrono::milliseconds(5));
   Write("another");
-  watcher.MarkKnown();
+  watcher.MarkCurrent();
   RunFor(loop, std::chrono::milliseconds(30));
   std::remove(path.c_str());
   RunFor(loop, std::chrono::milliseconds(30));
--- a/tests/soak/caller_connection.cc
+++ b/tests/soak/caller_connection.cc
@@ -8,7 +8,7 @@
     : loop_(loop), endpoint_(endpoint), parser_(http::ParserKind::kResponse, this) {}
 
 bool CallerConnection::usable() const {
-  return stream_ != nullptr && !callback_ && keep_alive_ && !stream_->PeerGone();
+  return stream_ != nullptr && !callback_ && keep_alive_ && !stream_->PeerDisconnected();
 }
 
 void CallerConnection::Send(std::string_view request, Callback callback) {
