--- a/tests/event/event_loop_test.cc
+++ b/tests/event/event_loop_test.cc
@@ -18,7 +18,7 @@
 
 TEST_GROUP(EventLoop) { EventLoop loop; };
 
-TEST(EventLoop, ATimerFiresOnceOrRepeatedly) {
+TEST(EventLoop, TimerFiresOnceOrRepeatedly) {
   int once = 0;
   int often = 0;
   Timer single(loop, [&] { ++once; });
@@ -31,7 +31,7 @@
   CHECK(repeated.active());
 }
 
-TEST(EventLoop, ATimerMayBeDestroyedInItsOwnCallback) {
+TEST(EventLoop, TimerMayBeDestroyedInItsCallback) {
   std::unique_ptr<Timer> timer;
   bool fired = false;
   timer = std::make_unique<Timer>(loop, [&] {
@@ -43,7 +43,7 @@
 }
 
 // On a machine that was suspended since it started, the monotonic clock is behind.
-TEST(EventLoop, TheTimeOfASuspensionCounts) {
+TEST(EventLoop, ClockIncludesSuspendedTime) {
   timespec time{};
   clock_gettime(CLOCK_BOOTTIME, &time);
   const Instant since_start(
@@ -55,7 +55,7 @@
 
 // Guards against calls that count as unanswered as soon as they are made, since the turn of the
 // loop that made them had lasted for longer than their time-out.
-TEST(EventLoop, ATimerThatIsStartedInALongTurnRunsItsWholeTime) {
+TEST(EventLoop, TimerStartedInLongIterationRunsFullDelay) {
   Instant started{};
   std::optional<Duration> ran;
   Timer inner(loop, [&] { ran = loop.Now() - started; });
@@ -72,7 +72,7 @@
 }
 
 // Guards against a loop that stands still over one event, and of which nothing shows it.
-TEST(EventLoop, ALongTurnIsMeasuredAndWaitingIsNot) {
+TEST(EventLoop, MonitorMeasuresBusyTimeOnly) {
   Duration longest{0};
   LoopMonitor monitor(loop, [&](Duration busy_time) { longest = std::max(longest, busy_time); });
   RunFor(loop, std::chrono::milliseconds(60));
@@ -88,14 +88,14 @@
   CHECK(longest_without_work < std::chrono::milliseconds(50));
 }
 
-TEST(EventLoop, ASignalIsDelivered) {
+TEST(EventLoop, SignalIsDelivered) {
   int count = 0;
   SignalWatcher watcher(loop, SIGUSR1, [&] { ++count; });
   std::raise(SIGUSR1);
   CHECK(RunUntil(loop, [&] { return count == 1; }));
 }
 
-TEST(EventLoop, AnEndpointIsAnAddressAndAPort) {
+TEST(EventLoop, EndpointParsesAddressAndPort) {
   Endpoint endpoint;
   CHECK(Endpoint::Parse("10.1.0.8:8300", &endpoint));
   STRCMP_EQUAL("10.1.0.8", endpoint.ip.c_str());
@@ -107,7 +107,7 @@
   }
 }
 
-TEST(EventLoop, DatagramsArrive) {
+TEST(EventLoop, DatagramsAreDelivered) {
   std::string received;
   UdpSocket receiver(loop, [&](std::string_view data) { received = data; });
   UdpSocket sender(loop, nullptr);
--- a/tests/event/file_watcher_test.cc
+++ b/tests/event/file_watcher_test.cc
@@ -21,7 +21,7 @@
   void Write(const std::string& text) { std::ofstream(path, std::ios::trunc) << text; }
 };
 
-TEST(FileWatcher, AChangeIsNoticedOnce) {
+TEST(FileWatcher, ChangeIsReportedOnce) {
   Write("one");
   event::FileWatcher watcher(
       loop, path, [this] { ++changes; }, std::chrono::milliseconds(5));
@@ -33,7 +33,7 @@
   CHECK_EQUAL(1, changes);
 }
 
-TEST(FileWatcher, WhatIsKnownAlreadyIsNotToldAndARemovalNeither) {
+TEST(FileWatcher, CurrentVersionAndRemovalAreNotReported) {
   Write("one");
   event::FileWatcher watcher(
       loop, path, [this] { ++changes; }, std::chrono::milliseconds(5));
--- a/tests/sidecar/crash_items_test.cc
+++ b/tests/sidecar/crash_items_test.cc
@@ -14,7 +14,7 @@
 
 TEST_GROUP(CrashItems){};
 
-TEST(CrashItems, AnEndIsReadAsItWasWritten) {
+TEST(CrashItems, WorkerEndRoundTrips) {
   const WorkerEnd end{"i-1@17", "n1", {*RequestFingerprint::Parse(kFingerprint)}};
   const auto read = WorkerEnd::Parse(end.Serialize());
   CHECK(read.has_value());
@@ -23,7 +23,7 @@
   CHECK(read->requests == end.requests);
 }
 
-TEST(CrashItems, AQuarantineIsReadAsItWasWritten) {
+TEST(CrashItems, QuarantineItemRoundTrips) {
   QuarantineItem item;
   item.trials = 2;
   item.worker_ids = {"a", "b"};
@@ -36,7 +36,7 @@
 }
 
 // Other writers may put anything under these keys.
-TEST(CrashItems, WhatIsBrokenIsRefusedWhole) {
+TEST(CrashItems, RejectsInvalidItems) {
   const std::string fingerprint = std::string("\"") + kFingerprint + "\"";
   for (const std::string& text :
        {std::string(), std::string("\xff\xfe"), std::string("[]"), std::string("7"),
--- a/tests/sidecar/crash_record_test.cc
+++ b/tests/sidecar/crash_record_test.cc
@@ -44,7 +44,7 @@
   Clearance At(Instant now) const { return record.ClearanceOf(now, poison); }
 };
 
-TEST(CrashRecord, TheSecondEndPutsARequestInQuarantine) {
+TEST(CrashRecord, SecondTerminationQuarantinesRequest) {
   CHECK(At(kStart) == Clearance::kFree);
   End(1, {poison, Fingerprint("a")});
   CHECK(At(kStart) == Clearance::kFree);
@@ -56,12 +56,12 @@
 }
 
 // Nodes hear of an end from the store, the one beside the worker before that.
-TEST(CrashRecord, AnEndThatIsToldTwiceCountsOnce) {
+TEST(CrashRecord, RepeatedReportCountsOnce) {
   for (int time = 0; time < 5; ++time) End(1, {poison});
   CHECK_EQUAL(1U, record.Ends(poison));
 }
 
-TEST(CrashRecord, WhatIsToldLaterOfAnEndIsAdded) {
+TEST(CrashRecord, LaterReportAddsRequests) {
   End(1, {Fingerprint("a")});
   End(1, {Fingerprint("a"), poison});
   CHECK_EQUAL(1U, record.Ends(poison));
@@ -69,7 +69,7 @@
 }
 
 // The poison one costs two workers and four trials, however often it comes.
-TEST(CrashRecord, ItReachesABoundedNumberOfWorkers) {
+TEST(CrashRecord, TerminatesBoundedNumberOfWorkers) {
   size_t workers = 0;
   Instant now = kStart;
   for (int second = 0; second < 600; ++second, now += seconds(1)) {
@@ -83,7 +83,7 @@
 }
 
 // The node beside the worker was lost with it, each time from the third run on.
-TEST(CrashRecord, EndsThatNobodySeesCostNoFurtherRun) {
+TEST(CrashRecord, UnobservedTerminationsAllowNoFurtherRun) {
   End(1, {poison});
   End(2, {poison});
   size_t runs = 2;
@@ -97,7 +97,7 @@
 }
 
 // Two runs began before the first end was known everywhere.
-TEST(CrashRecord, ARunBesideTheOthersTakesThePlaceOfATrial) {
+TEST(CrashRecord, ConcurrentRunReplacesTrial) {
   for (size_t worker = 1; worker <= 3; ++worker) End(worker, {poison});
   size_t workers = 3;
   Instant now = kStart;
@@ -111,7 +111,7 @@
 
 // Users count each run that the end of a worker cut. A request that was at work four times in the
 // first worker was run four times more, long after that.
-TEST(CrashRecord, RunsThatOneEndCutTakeThePlaceOfTrials) {
+TEST(CrashRecord, RunsInterruptedTogetherReplaceTrials) {
   const std::map<size_t, size_t> trials_by_runs{{1, 4}, {2, 3}, {3, 2}, {4, 2}};
   for (const auto& [runs, allowed] : trials_by_runs) {
     record = CrashRecord();
@@ -130,7 +130,7 @@
 }
 
 // Other nodes write the end that they were told of.
-TEST(CrashRecord, TheRunsOfAnEndAreToldOn) {
+TEST(CrashRecord, RepeatedRunsOfOneTerminationAreKept) {
   End(1, {poison, Fingerprint("a"), poison});
   End(1, {poison, poison, Fingerprint("a")});
   CHECK_EQUAL(3U, record.RequestsOf(Worker(1)).size());
@@ -138,7 +138,7 @@
 }
 
 // However many workers a common loss of power ended under it.
-TEST(CrashRecord, ARequestUnderManyEndsAtOnceIsTried) {
+TEST(CrashRecord, SimultaneousTerminationsLeaveATrial) {
   for (size_t worker = 1; worker <= 40; ++worker) End(worker, {poison});
   CHECK(At(kStart) == Clearance::kTrial);
   Take(kStart, record.BeginTrial(poison));
@@ -154,14 +154,14 @@
   CHECK(At(kStart + seconds(1)) == Clearance::kTrial);
 }
 
-TEST(CrashRecord, ATrialThatReachedNoWorkerIsGivenBack) {
+TEST(CrashRecord, TrialThatReachedNoWorkerDoesNotCount) {
   for (size_t worker = 1; worker <= 3; ++worker) End(worker, {poison});
   Take(kStart, record.BeginTrial(poison));
   Take(kStart, record.ReturnTrial(poison));
   CHECK_EQUAL(1U, record.BeginTrial(poison).item.trials);
 }
 
-TEST(CrashRecord, AGoodRunClearsARequest) {
+TEST(CrashRecord, CompletedRunClearsRequest) {
   End(1, {poison});
   End(2, {poison});
   record.OnGoodRun(poison);
@@ -173,7 +173,7 @@
 }
 
 // This node has not run it; the one that takes its requests has, since the first end.
-TEST(CrashRecord, GoodRunsAtAnotherNodeCount) {
+TEST(CrashRecord, CompletedRunsAtAnotherNodeCount) {
   End(1, {poison});
   CHECK_EQUAL(0U, record.Ends(poison, 1));
   End(2, {poison});
@@ -188,7 +188,7 @@
   CHECK_EQUAL(1U, record.Ends(poison, 1));
 }
 
-TEST(CrashRecord, AReleaseIsKnownOnceTheStoreHasIt) {
+TEST(CrashRecord, ReleaseIsKnownOnceStored) {
   End(1, {poison});
   End(2, {poison});
   Take(kStart, record.BeginTrial(poison));
@@ -200,7 +200,7 @@
   CHECK(!record.ReleaseIsKnown(poison));
 }
 
-TEST(CrashRecord, OthersHearOfAGoodRunOnlyWhereItMatters) {
+TEST(CrashRecord, CompletedRunIsReportedOnlyIfOthersCountTerminations) {
   End(1, {poison});
   CHECK(!record.OnGoodRun(poison));
   End(2, {poison});
@@ -210,7 +210,7 @@
   CHECK(!record.OnGoodRun(poison));
 }
 
-TEST(CrashRecord, AReleaseIsUnderstoodBeforeTheEndsThatItIsAbout) {
+TEST(CrashRecord, ReleaseMayArriveBeforeItsTerminations) {
   QuarantineItem item;
   item.released = true;
   item.worker_ids = {Worker(1), Worker(2), Worker(3)};
@@ -221,7 +221,7 @@
   CHECK_EQUAL(1U, record.Ends(poison));
 }
 
-TEST(CrashRecord, AfterAReleaseTrialsCountAnew) {
+TEST(CrashRecord, ReleaseResetsTrialCount) {
   for (size_t worker = 1; worker <= 3; ++worker) End(worker, {poison});
   Take(kStart, record.BeginTrial(poison));
   Take(kStart, record.Release(poison));
@@ -231,7 +231,7 @@
   CHECK_EQUAL(1U, record.BeginTrial(poison).item.trials);
 }
 
-TEST(CrashRecord, AnOlderItemChangesNothing) {
+TEST(CrashRecord, OlderItemIsIgnored) {
   for (size_t worker = 1; worker <= 3; ++worker) End(worker, {poison});
   const CrashRecord::Change first = record.BeginTrial(poison);
   record.OnQuarantine(kStart, poison, first.item, 20);
@@ -243,7 +243,7 @@
 }
 
 // Once it has lapsed one run, not three, tells whether the request still ends its worker.
-TEST(CrashRecord, AfterALapseOneEndIsEnough) {
+TEST(CrashRecord, OneTerminationSufficesAfterQuarantineExpired) {
   for (size_t worker = 1; worker <= 3; ++worker) End(worker, {poison});
   Take(kStart, record.BeginTrial(poison));
   record.OnQuarantineLapsed(poison);
@@ -255,14 +255,14 @@
   CHECK(At(kStart) == Clearance::kFree);
 }
 
-TEST(CrashRecord, WhatLapsedIsForgotten) {
+TEST(CrashRecord, ExpiredTerminationIsRemoved) {
   End(1, {poison, Fingerprint("a")});
   record.OnWorkerEndLapsed(Worker(1));
   CHECK(record.empty());
 }
 
 // A common loss of power ends hundreds of workers, with some twenty requests in each.
-TEST(CrashRecord, AFloodOfBystandersDoesNotPushTheGuiltyOneOut) {
+TEST(CrashRecord, UnrelatedRequestsDoNotEvictPoisonRequest) {
   End(1, {poison});
   End(2, {poison});
   for (size_t worker = 100; worker < 1700; ++worker) {
@@ -279,7 +279,7 @@
 
 // Guards against a request that ended workers before, which nobody remembers: with the usual number
 // of runs it has more after the proof than users allow.
-TEST(CrashRecord, WhereEndsMayBeForgottenARequestHasThreeRuns) {
+TEST(CrashRecord, IncompleteHistoryLimitsRequestToThreeRuns) {
   record.SetHistoryMayBeIncomplete(true);
   size_t runs = 1;
   End(runs, {poison});
@@ -294,14 +294,14 @@
 }
 
 // Guards against runs beside each other that are not counted where ends may be forgotten.
-TEST(CrashRecord, WhereEndsMayBeForgottenEachRunThatAnEndCutsCounts) {
+TEST(CrashRecord, IncompleteHistoryCountsEachInterruptedRun) {
   record.SetHistoryMayBeIncomplete(true);
   End(1, {poison, poison, poison});
   CHECK(At(kStart) == Clearance::kQuarantined);
 }
 
 // Guards against innocent requests that stay refused after the fleet was strict.
-TEST(CrashRecord, AGoodRunClearsARequestWhereEndsMayBeForgotten) {
+TEST(CrashRecord, IncompleteHistoryCompletedRunClearsRequest) {
   record.SetHistoryMayBeIncomplete(true);
   End(1, {poison});
   CHECK(At(kStart) == Clearance::kTrial);
@@ -309,7 +309,7 @@
   CHECK(At(kStart) == Clearance::kFree);
 }
 
-TEST(CrashRecord, OnceNothingIsForgottenTheUsualEndsAndTrialsHold) {
+TEST(CrashRecord, CompleteHistoryRestoresUsualLimits) {
   record.SetHistoryMayBeIncomplete(true);
   End(1, {poison});
   record.SetHistoryMayBeIncomplete(false);
--- a/tests/sidecar/interrupted_requests_test.cc
+++ b/tests/sidecar/interrupted_requests_test.cc
@@ -30,7 +30,7 @@
 
 TEST_GROUP(InterruptedRequests) { InterruptedRequests requests; };
 
-TEST(InterruptedRequests, TellsWhatWasAtWorkInTheEndedWorker) {
+TEST(InterruptedRequests, ReturnsRequestsInFlightInTerminatedWorker) {
   requests.Add(Make("other", milliseconds(0), milliseconds(90), "w2"));
   requests.Add(Make("a", milliseconds(0), milliseconds(100)));
   requests.Add(Make("b", milliseconds(50), milliseconds(101)));
@@ -38,7 +38,7 @@
   STRCMP_EQUAL("", Ids(requests.TakeInFlight(kStart + milliseconds(111), "w1")).c_str());
 }
 
-TEST(InterruptedRequests, WhatWasSentToAWorkerThatWasGoneIsNotTold) {
+TEST(InterruptedRequests, OmitsRequestsSentAfterTermination) {
   requests.Add(Make("a", milliseconds(0), milliseconds(100)));
   requests.Add(Make("late", milliseconds(102), milliseconds(103)));
   STRCMP_EQUAL("a ", Ids(requests.TakeInFlight(kStart + milliseconds(130), "w1")).c_str());
@@ -50,7 +50,7 @@
 
 // The one that ended the worker was sent a moment before that; a caller of another one had left
 // just then, and a connection had been reset.
-TEST(InterruptedRequests, WhatCallersAndResetsInterruptDoesNotTellWhenTheWorkerEnded) {
+TEST(InterruptedRequests, DisconnectsAndResetsDoNotDetermineTerminationTime) {
   InterruptedRequest left = Make("left", milliseconds(0), milliseconds(50));
   left.by_caller = true;
   requests.Add(left);
@@ -62,21 +62,21 @@
 }
 
 // A connection that the worker reset seconds before its end says nothing of the end.
-TEST(InterruptedRequests, WhatBrokeLongBeforeTheEndIsNotTold) {
+TEST(InterruptedRequests, OmitsConnectionsResetLongBeforeTermination) {
   requests.Add(Make("reset", milliseconds(0), milliseconds(10)));
   requests.Add(Make("a", milliseconds(900), milliseconds(1000)));
   STRCMP_EQUAL("a ", Ids(requests.TakeInFlight(kStart + milliseconds(1010), "w1")).c_str());
 }
 
 // The only one at work, and its caller did not wait for the end.
-TEST(InterruptedRequests, ACallerThatLeftAMomentBeforeTheEndHidesNothing) {
+TEST(InterruptedRequests, IncludesRequestOfClientThatDisconnectedJustBefore) {
   InterruptedRequest left = Make("poison", milliseconds(0), milliseconds(50));
   left.by_caller = true;
   requests.Add(left);
   STRCMP_EQUAL("poison ", Ids(requests.TakeInFlight(kStart + milliseconds(150), "w1")).c_str());
 }
 
-TEST(InterruptedRequests, NothingIsToldOfWhatIsLongPast) {
+TEST(InterruptedRequests, OmitsExpiredRequests) {
   requests.Add(Make("a", milliseconds(0), milliseconds(100)));
   STRCMP_EQUAL("", Ids(requests.TakeInFlight(kStart + milliseconds(4200), "w1")).c_str());
 }
--- a/tests/sidecar/log_writer_test.cc
+++ b/tests/sidecar/log_writer_test.cc
@@ -29,7 +29,7 @@
   }
 };
 
-TEST(LogWriter, LinesAreWrittenTogether) {
+TEST(LogWriter, WritesLinesInBatches) {
   LogWriter log(loop, ends[1], {});
   log.Write(LogLevel::kInfo, "one", {{"key", 1}});
   log.Write(LogLevel::kInfo, "two", {});
@@ -40,7 +40,7 @@
   CHECK(text.find("event=two\n") != std::string::npos);
 }
 
-TEST(LogWriter, OneKindOfLineIsBoundedAndTheRestIsCounted) {
+TEST(LogWriter, LimitsLinesPerEventAndCountsSuppressed) {
   LogWriterConfig config;
   config.lines_per_event_and_second = 3;
   LogWriter log(loop, ends[1], config);
@@ -59,7 +59,7 @@
   CHECK(text.find("event=lines_suppressed suppressed_event=often count=7") != std::string::npos);
 }
 
-TEST(LogWriter, AReaderThatStandsStillCostsLinesAndNoTime) {
+TEST(LogWriter, StalledReaderDropsLinesWithoutBlocking) {
   LogWriterConfig config;
   config.buffer_bytes = 8192;
   config.lines_per_event_and_second = 1000000;
--- a/tests/sidecar/request_fingerprint_test.cc
+++ b/tests/sidecar/request_fingerprint_test.cc
@@ -27,7 +27,7 @@
 
 TEST_GROUP(RequestFingerprint){};
 
-TEST(RequestFingerprint, ChangesWithWhatIsAskedAndByWhom) {
+TEST(RequestFingerprint, DependsOnContentAndCaller) {
   const std::string fingerprint = Fingerprint(Request());
   http::Request other = Request();
   other.head.target = "/send/order?from=8";
@@ -47,7 +47,7 @@
   CHECK(FingerprintOf(Request(), 7).ToString() != fingerprint);
 }
 
-TEST(RequestFingerprint, StaysWithWhatIsNewEachTime) {
+TEST(RequestFingerprint, IgnoresHeadersThatChangeOnRetry) {
   http::Request again = Request();
   again.head.headers.Add("Attempt-Id", "2");
   again.head.headers.Add("Deadline-Ms", "900");
@@ -57,7 +57,7 @@
 }
 
 // A field that ends where another one begins must not give the same bytes.
-TEST(RequestFingerprint, KeepsFieldsApart) {
+TEST(RequestFingerprint, SeparatesFields) {
   http::Request left = Request();
   left.head.headers.Remove("Cookie");
   left.head.headers.Add("Authorization", "ab");
@@ -67,14 +67,14 @@
 }
 
 // All nodes must agree, whatever they are built with.
-TEST(RequestFingerprint, IsTheSameEverywhere) {
+TEST(RequestFingerprint, IsTheSameOnAllNodes) {
   http::Request request;
   request.head.method = "GET";
   request.head.target = "/";
   STRCMP_EQUAL("5082b49fc9f5b5058282f46f0e22fd77", Fingerprint(request).c_str());
 }
 
-TEST(RequestFingerprint, ReadsOnlyWhatItWrote) {
+TEST(RequestFingerprint, ParsesOnlyValidFingerprints) {
   const auto fingerprint = FingerprintOf(Request(), std::nullopt);
   CHECK(RequestFingerprint::Parse(fingerprint.ToString()) == fingerprint);
   CHECK(!RequestFingerprint::Parse("").has_value());
@@ -82,7 +82,7 @@
   CHECK(!RequestFingerprint::Parse(std::string(32, 'G')).has_value());
 }
 
-TEST(RequestFingerprint, ADescriptionIsBounded) {
+TEST(RequestFingerprint, DescriptionIsBounded) {
   http::Request request = Request();
   request.head.target = "/" + std::string(5000, 'x');
   CHECK_EQUAL(160U, DescribeRequest(request).size());
--- a/tests/sidecar/stop_schedule_test.cc
+++ b/tests/sidecar/stop_schedule_test.cc
@@ -15,7 +15,7 @@
   }
 };
 
-TEST(StopSchedule, ANodeThatDoesNotStopTakesEverything) {
+TEST(StopSchedule, AcceptsEverythingBeforeStop) {
   CHECK_FALSE(schedule.begun());
   CHECK(schedule.TakesNewRequests(begun));
   CHECK(schedule.EndsInTime(After(3600000)));
@@ -23,7 +23,7 @@
   CHECK_FALSE(schedule.Notice(begun).has_value());
 }
 
-TEST(StopSchedule, OthersAreToldForHowLongRequestsAreTaken) {
+TEST(StopSchedule, NoticeStatesHowLongRequestsAreAccepted) {
   schedule.Begin(begun);
   CHECK_FALSE(schedule.Notice(After(800)).has_value());
   const StopNotice first{std::chrono::milliseconds(1300), std::chrono::milliseconds(5000)};
@@ -36,7 +36,7 @@
 }
 
 // What is taken is over, at its deadline at the latest, before the stop is out of time.
-TEST(StopSchedule, WhatEndsInTimeIsOverBeforeTheProcessEnds) {
+TEST(StopSchedule, RequestThatEndsInTimeCompletesBeforeProcessEnds) {
   schedule.Begin(begun);
   CHECK(schedule.EndsInTime(After(5000)));
   CHECK_FALSE(schedule.EndsInTime(After(5300)));
@@ -47,7 +47,7 @@
   CHECK_FALSE(schedule.OutOfTime(After(9000)));
 }
 
-TEST(StopSchedule, OneThatIsClosedTakesNothing) {
+TEST(StopSchedule, AcceptsNothingOnceClosed) {
   schedule.Begin(begun);
   schedule.Close();
   CHECK_FALSE(schedule.TakesNewRequests(After(1000)));
--- a/tests/sidecar/traffic_meter_test.cc
+++ b/tests/sidecar/traffic_meter_test.cc
@@ -6,7 +6,7 @@
 
 TEST_GROUP(TrafficMeter) { TrafficMeter meter; };
 
-TEST(TrafficMeter, BytesAreCountedByKindAndByWhetherTheyLeaveTheZone) {
+TEST(TrafficMeter, CountsBytesByKindAndZone) {
   meter.Count(TrafficKind::kRequests, /*between_zones=*/true, 100);
   meter.Count(TrafficKind::kRequests, /*between_zones=*/true, 20);
   meter.Count(TrafficKind::kRequests, /*between_zones=*/false, 7);
