--- a/source/sidecar/crash_history_record.cc
+++ b/source/sidecar/crash_history_record.cc
@@ -12,11 +12,11 @@
 constexpr std::string_view kKeptText = "kept";
 constexpr std::string_view kLostText = "lost";
 constexpr Duration kCheckInterval = std::chrono::milliseconds(250);
-// Nodes that live on have written their record by then: they write what was lost after 1.5 s at the
-// latest, and the record after that. Others write at different times.
+// Surviving nodes have written their record by then: they write lost items within 1.5 s, and the
+// record after that. The delay is random so that nodes write at different times.
 constexpr Duration kWriteDelayMin = std::chrono::seconds(3);
 constexpr Duration kWriteDelayMax = std::chrono::seconds(6);
-// As long as ends of workers and quarantines are kept.
+// The lifetime of termination records and quarantine items.
 constexpr Duration kLossRecordLifetime = std::chrono::minutes(10);
 
 std::string KeyOfEra(store::StoreEra era) {
@@ -47,7 +47,7 @@
   store::StoreEra era = 0;
   if (!absl::SimpleAtoi(NameAfter(item.key, kCrashHistoryPrefix), &era)) return false;
   if (item.value != kKeptText && item.value != kLostText) return false;
-  // Copies that the store comes back from hold records of former eras.
+  // A restored store contains the records of earlier eras.
   if (era < context_.store.era() || (era_.has_value() && era < *era_)) return true;
   era_ = era;
   may_be_incomplete_ = item.value == kLostText;
@@ -65,7 +65,7 @@
 }
 
 void CrashHistoryRecord::OnSynchronized() {
-  // Nodes that live on write the record of an era together with what was lost.
+  // Surviving nodes write the record of a new era together with the lost items (LostItemWriter).
   const bool missing = lapsed_ || (!HasPresentRecord() && !context_.store.restored());
   NotifyChanged();
   if (!missing || timer_.active()) return;
@@ -80,7 +80,7 @@
   const bool first = may_write_at_once && context_.writes_first();
   const Duration waited = context_.loop.Now() - missing_since_;
   if (!first && !WriteDelayElapsed(waited)) return;
-  // Once more after the same time, if this one is not done.
+  // Retries after the same delay if this write fails.
   missing_since_ = context_.loop.Now();
   if (!lapsed_ && MayBeIncomplete()) {
     context_.store.GrantLease(
--- a/source/sidecar/crash_history_record.h
+++ b/source/sidecar/crash_history_record.h
@@ -1,10 +1,10 @@
-// Tells whether the fleet may have forgotten what it knew of ends of workers.
+// Tracks whether the store may lack records of worker terminations.
 //
-// The store may come back from a copy that lacks what nodes wrote last. As a rule nodes live on and
-// write it again. When all of them are lost beside it, nobody remembers, and the requests that end
-// workers are new to the fleet. The loss itself shows: each era of the store has a record, written
-// by nodes that live on once all that they knew is there again, or at the first start of the fleet.
-// Processes that start in an era without a record write that the history is lost.
+// After a restore from a backup the store lacks the latest writes of the nodes. Surviving nodes
+// normally write them again. If all nodes failed together with the store, these records are lost,
+// and poison requests appear to be new. To detect this, each era of the store has a record.
+// Surviving nodes write it once all data that they know has been restored, or at the first start of
+// the fleet. Processes that start in an era without a record write one that states the loss.
 #pragma once
 
 #include <functional>
@@ -19,50 +19,56 @@
 
 namespace runshelf::sidecar {
 
-// Keys of the records; the era follows.
+// Key prefix of the records, followed by the era.
 constexpr std::string_view kCrashHistoryPrefix = "runshelf/memory/";
 
-// What the nodes of a fleet remember in one era of the store.
+// State of the records of worker terminations in one era of the store.
 enum class CrashHistory {
-  kKept,  // All that was known before.
-  kLost,  // Maybe nothing. Such a record lapses, as what is missing would have.
+  kKept,  // Complete.
+  // Possibly incomplete. This record expires after the time in which the missing records would
+  // have.
+  kLost,
 };
 
+// Dependencies of a CrashHistoryRecord. The references must outlive it.
 struct CrashHistoryRecordContext {
   event::EventLoop& loop;
   store::StoreClient& store;
   Random& random;
   LogWriter& log;
-  // The fleet starts for the first time: there is nothing to remember.
+  // The fleet starts for the first time, so that there is no history to lose.
   bool first_start = false;
-  // This node is the first one to write what the whole fleet knows.
+  // Returns true if this node is the first one to write data that the whole fleet knows.
   std::function<bool()> writes_first;
 };
 
+// Maintains the record of the present era in the store. Not thread-safe: must be used on the thread
+// of its event loop.
 class CrashHistoryRecord {
  public:
   explicit CrashHistoryRecord(CrashHistoryRecordContext context);
 
   static bool IsItemKey(std::string_view key) { return key.starts_with(kCrashHistoryPrefix); }
 
-  // The record that a node which lives on writes of an era that has just begun, without a revision.
-  // One with a lease is to be written under a lease of some minutes.
+  // Returns the record, without a revision, that a surviving node writes in an era that has just
+  // begun. If it has a lease, the caller must write it with a lease of several minutes.
   store::Item ItemOfEra(store::StoreEra era) const;
-  // False when the item cannot be read.
+  // Applies a record from the store. Returns false if it cannot be parsed.
   bool OnItem(const store::Item& item);
+  // A record was removed or expired.
   void OnRemoved(const std::string& key);
-  // The state was read whole.
+  // The state has been read completely.
   void OnSynchronized();
 
-  // Also true while this process does not know whether others live that remember.
+  // Also returns true while this process does not know whether any node has a complete history.
   bool MayBeIncomplete() const { return may_be_incomplete_; }
-  // Called when the answer to that may have changed.
+  // `on_changed` is called when the result of MayBeIncomplete may have changed.
   void set_on_changed(std::function<void()> on_changed) { on_changed_ = std::move(on_changed); }
 
  private:
   bool HasPresentRecord() const;
   void WriteIfMissing();
-  // For another node to write the record.
+  // Whether other nodes have had enough time to write the record.
   bool WriteDelayElapsed(Duration waited);
   void Write(CrashHistory history, store::LeaseId lease);
   void NotifyChanged();
@@ -70,11 +76,12 @@
   CrashHistoryRecordContext context_;
   event::Timer timer_;
   Instant missing_since_{};
-  std::optional<Duration> write_delay_;  // Drawn when it may matter.
-  std::optional<store::StoreEra> era_;   // Of the latest record that came.
-  // A process that sees the store go back knows what it knew before.
+  std::optional<Duration> write_delay_;  // Random; chosen when it is first needed.
+  std::optional<store::StoreEra> era_;   // Era of the latest record received.
+  // Starts as true unless this is the first start of the fleet. A process that is running when the
+  // store is restored keeps its value.
   bool may_be_incomplete_;
-  bool lapsed_ = false;  // The record of the present era told of a loss.
+  bool lapsed_ = false;  // The record of the present era, which stated a loss, has expired.
   std::function<void()> on_changed_;
 };
 
--- a/source/sidecar/crash_items.cc
+++ b/source/sidecar/crash_items.cc
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// A worker runs some dozens of requests at once.
+// A worker runs a few dozen requests at once.
 constexpr size_t kMaxRequestsPerEnd = 512;
 constexpr size_t kMaxWorkersPerRequest = 64;
 constexpr size_t kMaxTextBytes = 256;
@@ -33,7 +33,7 @@
   return IsBounded(out);
 }
 
-// Names come from other machines, and may be no valid UTF-8.
+// Names come from other machines and may not be valid UTF-8.
 std::string Dump(const json& value) {
   return value.dump(-1, ' ', /*ensure_ascii=*/true, json::error_handler_t::replace);
 }
--- a/source/sidecar/crash_items.h
+++ b/source/sidecar/crash_items.h
@@ -1,4 +1,4 @@
-// What nodes keep in the store of requests under which workers ended.
+// Items in the store about requests that were running when workers terminated.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,29 @@
 
 namespace runshelf::sidecar {
 
-// Keys of the items: a worker's identity, and a request's fingerprint, follow.
+// Key prefixes, followed by the worker id or the request's fingerprint.
 constexpr std::string_view kWorkerEndPrefix = "runshelf/worker-ends/";
 constexpr std::string_view kQuarantinePrefix = "runshelf/quarantine/";
 
-// The end of one worker, written by the node beside it: one item, however many requests were at
-// work, so that ends at many machines are never written over each other.
+// The termination of one worker. The node that observed it writes one item for all requests that
+// were in flight, so that concurrent terminations at many machines do not overwrite each other.
 struct WorkerEnd {
-  std::string worker_id;  // Of the incarnation.
+  std::string worker_id;  // Identifies one incarnation of the worker.
   std::string node;
-  std::vector<RequestFingerprint> requests;  // That were at work in it.
+  std::vector<RequestFingerprint> requests;  // In flight in the worker.
 
   std::string Serialize() const;
-  // nullopt for anything but a whole item; also one with more requests than any worker runs.
+  // Returns nullopt unless `text` is a complete, valid item with no more requests than a worker can
+  // run.
   static std::optional<WorkerEnd> Parse(const std::string& text);
 };
 
-// What was decided of one request; changed by compare-and-swap only.
+// The quarantine state of one request. Changed only by compare-and-swap.
 struct QuarantineItem {
-  bool released = false;                // Found good, or released by an operator.
-  uint32_t trials = 0;                  // Begun since it was put in quarantine.
-  std::vector<std::string> worker_ids;  // That ended under it.
-  std::string description;              // What it asks, for operators; see DescribeRequest.
+  bool released = false;                // Found harmless, or released by an operator.
+  uint32_t trials = 0;                  // Started since it was put in quarantine.
+  std::vector<std::string> worker_ids;  // Workers that terminated while running it.
+  std::string description;  // Method, host and path, for operators; see DescribeRequest.
 
   std::string Serialize() const;
   static std::optional<QuarantineItem> Parse(const std::string& text);
--- a/source/sidecar/crash_record.cc
+++ b/source/sidecar/crash_record.cc
@@ -6,30 +6,33 @@
 namespace runshelf::sidecar {
 namespace {
 
-// From here on each run is counted before it is sent. One end would be too few: it puts all
-// requests of a worker in quarantine, some 8 to 20, each time that one ends for a reason of its
-// own.
+// Number of terminations from which each run is counted before it is sent. A threshold of one would
+// quarantine all requests of a worker, some 8 to 20, each time a worker terminates for an unrelated
+// reason.
 constexpr size_t kEndsForQuarantine = 2;
-// Of a request that may have ended workers before, which nobody remembers.
+// The threshold while earlier terminations of a request may be missing from the store.
 constexpr size_t kEndsForQuarantineIfIncomplete = 1;
-// Runs of such a request, its first one and trials: those that users allow after the proof.
+// Runs of such a request, including the first one and its trials: as many as users accept after
+// proof.
 constexpr uint32_t kMaxRunsIfIncomplete = 3;
-// Users take three ends for proof, and allow three more runs after that, over the whole day. The
-// first trial is the third run. A request that is there by chance under five ends is served.
+// Users take three terminations as proof, and accept three more runs after that in a whole day. The
+// first trial is the third run. A request that happened to run under five unrelated terminations is
+// still served.
 constexpr uint32_t kMaxTrials = 4;
-// Several runs of a request may be at work in one worker: users count each run that an end cuts.
+// Several runs of a request may be in flight in one worker. Users count each interrupted run.
 constexpr size_t kRunsInOneEndForProof = 3;
-// A run takes some 100 ms, and its outcome is known everywhere within about half a second.
+// A run takes about 100 ms, and all nodes know its outcome within about 500 ms.
 constexpr Duration kTrialSpacing = std::chrono::seconds(1);
-// Some hundred bytes each. A common loss of power ends hundreds of workers, with some 20 requests
-// in each.
+// A few hundred bytes each. A power failure terminates hundreds of workers with about 20 requests
+// each.
 constexpr size_t kMaxSuspects = 20000;
-// Each lapses some minutes after it was written. Of a flood beyond this the rest is not counted.
+// Each termination expires minutes after it was written. Terminations beyond this limit are
+// ignored.
 constexpr size_t kMaxEnds = 5000;
-// Named in an item, which is passed on to all nodes.
+// Limits the size of an item, which is sent to all nodes.
 constexpr size_t kMaxWorkersInItem = 16;
 
-// How many of `names` are not in `others`.
+// Returns the number of `names` that are not in `others`.
 size_t CountMissing(const std::set<std::string>& names, const std::set<std::string>& others) {
   return static_cast<size_t>(std::count_if(
       names.begin(), names.end(), [&](const std::string& name) { return !others.contains(name); }));
@@ -37,7 +40,7 @@
 
 }  // namespace
 
-// Excused are always the first ones.
+// Both counts of excused terminations cover the earliest ones, so that they overlap.
 size_t CrashRecord::Ends(const Suspect& suspect, size_t excused_elsewhere) {
   const size_t all = suspect.worker_ids.size();
   return std::min(CountMissing(suspect.worker_ids, suspect.excused),
@@ -72,11 +75,11 @@
   });
 }
 
-// Runs that began before the second end was known everywhere are no trials, but take the place of
-// one: then the request has been cut three times before its first trial, and all trials come after
-// the proof. Where the first end was proof by itself, the second one may come after it as well.
-// They do not take more, since a common loss of power ends many workers under a request that is
-// innocent.
+// Runs that started before all nodes knew of the second termination are not trials, but use up one:
+// the request was then interrupted three times before its first trial, so that all trials follow
+// the proof. If the first termination was proof by itself, the second one may follow the proof too,
+// and uses up another. They never use up more, because a power failure terminates many workers
+// under a harmless request.
 uint32_t CrashRecord::TrialsLeft(const Suspect& suspect) const {
   const bool has_item = suspect.item.has_value() && !suspect.item->released;
   const uint32_t begun = has_item ? suspect.item->trials : 0;
@@ -104,8 +107,8 @@
   return suspect;
 }
 
-// Those that were there once go first, the oldest before others: what ends workers is there again
-// and again, and a flood of bystanders does not push it out.
+// Evicts the oldest request that is not quarantined, or the oldest of all. A poison request is
+// interrupted repeatedly, so that a flood of unrelated requests does not evict it.
 void CrashRecord::EvictOne() {
   const auto dispensable = [this](const auto& entry) {
     return !Quarantined(suspects_.at(entry.second));
@@ -120,7 +123,7 @@
   const uint64_t number = found->second.number;
   quarantined_.erase(request);
   suspects_.erase(found);
-  // Last: `request` may be the one that stands here.
+  // Last, because `request` may refer to the key in this entry.
   by_age_.erase(number);
 }
 
@@ -245,7 +248,7 @@
   return std::max(Duration(0), suspect->item_since + kTrialSpacing - now);
 }
 
-// A new quarantine begins with no trials, one that goes on keeps its count.
+// A new quarantine starts with no trials; an existing one keeps its count.
 CrashRecord::Change CrashRecord::ChangeOf(const RequestFingerprint& request) const {
   Change change;
   const Suspect* suspect = Find(request);
--- a/source/sidecar/crash_record.h
+++ b/source/sidecar/crash_record.h
@@ -1,14 +1,16 @@
-// Decides which requests may run, from the ends of workers that they were at work under.
+// Decides which requests may run, based on the worker terminations that interrupted them.
 //
-// A request that ends the worker that begins it comes again, at any node, and each run costs a
-// worker, its keys and all other requests in it. Workers also end for reasons of their own, and
-// then everything at work in them is innocent. What tells the two apart is repetition without a
-// good run: of 84 requests under 11 ends that had other reasons, none was at work under two, while
-// the guilty one is under every end. So after the first end a worker runs a request only once at a
-// time, and the node that saw its try end does not send it on. The second end puts it in
-// quarantine. There only trials run, one in the fleet at a time, each counted before it is sent: an
-// innocent request proves itself with the first, and the guilty one costs six workers in all, also
-// when nobody sees how a trial ended.
+// A request that terminates the worker that runs it (a poison request) is retried at any node, and
+// each run costs a worker, its keys and all other requests in it. Workers also terminate for other
+// reasons, and the requests in flight then are not at fault. Repeated terminations without a
+// completed run in between identify the poison request: of 84 requests interrupted by 11
+// terminations with other causes, none was interrupted twice, whereas the poison request is
+// interrupted by every one. After the first termination a worker therefore runs only one instance
+// of the request at a time, and the node whose attempt was interrupted does not retry it elsewhere.
+// The second termination puts the request in quarantine, where only trial runs are allowed: one at
+// a time in the fleet, each counted before it is sent. A harmless request is released by its first
+// trial. A poison request terminates at most six workers, even if no node observes how a trial
+// ended.
 #pragma once
 
 #include <cstdint>
@@ -24,102 +26,111 @@
 
 namespace runshelf::sidecar {
 
+// Whether a request may run.
 enum class Clearance {
-  kFree,         // Nothing speaks against it.
-  kTrial,        // In quarantine, and a trial may begin.
-  kQuarantined,  // In quarantine; refused at once.
+  kFree,         // No restriction.
+  kTrial,        // Quarantined; a trial may start.
+  kQuarantined,  // Quarantined; refused immediately.
 };
 
-// A fleet that may have forgotten ends, see MemoryRecord, is stricter: a request that it takes for
-// new may have ended two workers already, and run in a few trials. The first end puts it in
-// quarantine, and it has three runs in all from then on, as many as users allow after the proof.
+// Tracks suspect requests and the worker terminations that interrupted them.
 //
-// Deterministic; not thread-safe. Bounded, however many workers end.
+// The rules are stricter while terminations may be missing from the store (see CrashHistoryRecord),
+// because a request that appears to be new may already have terminated two workers and have had
+// some of its trials. The first termination then puts it in quarantine, and it is allowed three
+// runs in all, as many as users accept once a request is proven to be poison.
+//
+// Deterministic; not thread-safe. Memory is bounded for any number of terminations.
 class CrashRecord {
  public:
-  // Ends that the fleet knew of may be forgotten, and with them trials.
+  // Whether terminations recorded in the past, and trials, may be missing from the store.
   void SetHistoryMayBeIncomplete(bool history_may_be_incomplete);
-  // The end of a worker; reported again, it adds what is new. Returns the requests that this end
-  // brings into quarantine.
+  // Records the termination of a worker. A repeated call adds only requests that were not known
+  // yet. Returns the requests that this termination puts in quarantine.
   std::vector<RequestFingerprint> OnWorkerEnd(const std::string& worker_id,
                                               const std::vector<RequestFingerprint>& requests);
-  // Nobody has seen requests of this end in quarantine for long.
+  // The store's record of this termination expired.
   void OnWorkerEndLapsed(const std::string& worker_id);
-  // What the store holds of a request, as of `revision`.
+  // The store holds `item` for the request as of `revision`.
   void OnQuarantine(Instant now, const RequestFingerprint& request, const QuarantineItem& item,
                     store::Revision revision);
+  // The quarantine item expired in the store.
   void OnQuarantineLapsed(const RequestFingerprint& request);
-  // The request ran to an answer: no end that is known so far was its doing. True when the other
-  // nodes should hear of it, which may hold these ends against it.
+  // The request ran to completion, so that it caused none of the terminations known so far. Returns
+  // true if the other nodes need to be told, because they may still count these terminations
+  // against it.
   bool OnGoodRun(const RequestFingerprint& request);
 
   bool empty() const { return suspects_.empty(); }
-  // `excused_elsewhere`: another node, which takes its requests, has seen a good run since so many
-  // of the ends.
+  // `excused_elsewhere`: the number of terminations after which the node that forwarded the request
+  // has seen it complete.
   bool IsQuarantined(const RequestFingerprint& request, size_t excused_elsewhere = 0) const;
-  // Ends that speak against the request.
+  // Terminations that count against the request.
   size_t Ends(const RequestFingerprint& request, size_t excused_elsewhere = 0) const;
-  // Ends since which this node has seen a good run.
+  // Terminations after which this node has seen the request complete.
   size_t ExcusedEnds(const RequestFingerprint& request) const;
   Clearance ClearanceOf(Instant now, const RequestFingerprint& request) const;
-  // Of one in quarantine: until the next trial may begin; nullopt: none will.
+  // Time until the next trial of a quarantined request may start; nullopt if none will.
   std::optional<Duration> UntilTrial(Instant now, const RequestFingerprint& request) const;
-  // What the store should hold once another trial has begun, and the revision that it replaces.
+  // The item to store, and the revision that it replaces.
   struct Change {
     QuarantineItem item;
-    store::Revision expected = 0;  // Zero: there is no item yet.
+    store::Revision expected = 0;  // Zero: no item exists yet.
   };
+  // Starts another trial.
   Change BeginTrial(const RequestFingerprint& request) const;
-  // The trial did not reach a worker.
+  // Takes back a trial that did not reach a worker.
   Change ReturnTrial(const RequestFingerprint& request) const;
-  // The request was found good.
+  // Releases a request that was found harmless.
   Change Release(const RequestFingerprint& request) const;
-  // This node has seen a good run since all the ends that are held against the request.
+  // Whether this node has seen the request complete after all terminations that count against it.
   bool KnownGood(const RequestFingerprint& request) const;
-  // All nodes know that the ends that are known here do not speak against it.
+  // Whether all nodes know that the terminations known here do not count against the request.
   bool ReleaseIsKnown(const RequestFingerprint& request) const;
-  // Of the end of this worker; one that ran there more than once is named as often.
+  // The requests interrupted by the termination of this worker. A request appears once for each of
+  // its runs there.
   std::vector<RequestFingerprint> RequestsOf(const std::string& worker_id) const;
+  // Workers that terminated while running the request.
   std::vector<std::string> WorkersOf(const RequestFingerprint& request) const;
-  // Requests in quarantine.
+  // Number of quarantined requests.
   size_t quarantined() const { return quarantined_.size(); }
 
  private:
   struct Suspect {
-    uint64_t number = 0;                 // In the order in which they came to be known.
-    std::set<std::string> worker_ids;    // That ended under it.
-    std::map<std::string, size_t> runs;  // Of it, that the end of each of these cut.
-    std::set<std::string> excused;       // Ends before a good run.
-    std::set<std::string> released;      // Of these, the ones that all nodes know of.
+    uint64_t number = 0;                 // Sequence number, in order of discovery.
+    std::set<std::string> worker_ids;    // Workers that terminated while running it.
+    std::map<std::string, size_t> runs;  // Interrupted runs, by terminated worker.
+    std::set<std::string> excused;       // Terminations before a completed run.
+    std::set<std::string> released;      // Those of `excused` that all nodes know of.
     std::optional<QuarantineItem> item;
     bool release_stored = false;   // The store's item is a release.
-    store::Revision revision = 0;  // Of the item.
+    store::Revision revision = 0;  // Revision of `item`.
     Instant item_since{};
-    // It was in quarantine until nobody sent it any more: one more end is enough.
+    // The quarantine expired because no client sent the request. One more termination restores it.
     bool was_quarantined = false;
   };
 
   static size_t Ends(const Suspect& suspect, size_t excused_elsewhere = 0);
   bool Quarantined(const Suspect& suspect, size_t excused_elsewhere = 0) const;
-  // Runs that were cut by ends that speak against it.
+  // Runs interrupted by terminations that count against the request.
   static size_t InterruptedRuns(const Suspect& suspect);
-  // So many were cut by one of these ends that it alone is proof for the users.
+  // Whether one termination interrupted so many runs that users take it alone as proof.
   static bool OneEndIsProof(const Suspect& suspect);
-  // Trials that may still begin.
+  // Number of trials that may still start.
   uint32_t TrialsLeft(const Suspect& suspect) const;
   const Suspect* Find(const RequestFingerprint& request) const;
   Suspect& FindOrAdd(const RequestFingerprint& request);
   void EvictOne();
   void RemoveIfClear(const RequestFingerprint& request);
   void Remove(const RequestFingerprint& request);
-  // To be called after every change of the suspect.
+  // Updates `quarantined_`. Must be called after every change of the suspect.
   void UpdateQuarantined(const RequestFingerprint& request);
   Change ChangeOf(const RequestFingerprint& request) const;
 
   std::map<RequestFingerprint, Suspect> suspects_;
-  std::set<RequestFingerprint> quarantined_;                     // Of the suspects.
-  std::map<std::string, std::vector<RequestFingerprint>> ends_;  // By worker.
-  std::map<uint64_t, RequestFingerprint> by_age_;                // By number.
+  std::set<RequestFingerprint> quarantined_;                     // Subset of the suspects.
+  std::map<std::string, std::vector<RequestFingerprint>> ends_;  // By worker id.
+  std::map<uint64_t, RequestFingerprint> by_age_;                // By sequence number.
   uint64_t next_number_ = 0;
   bool history_may_be_incomplete_ = false;
 };
--- a/source/sidecar/interrupted_requests.cc
+++ b/source/sidecar/interrupted_requests.cc
@@ -7,19 +7,21 @@
 namespace runshelf::sidecar {
 namespace {
 
-// A worker runs some dozens at once; callers that leave add some.
+// A worker runs a few dozen requests at once; requests of disconnected clients add some more.
 constexpr size_t kMaxInterrupted = 256;
-// The end of a worker shows within milliseconds when nothing listens at its address any more, and
-// with the next one's first heartbeat, about a second later, when that comes at once.
+// A termination is detected within milliseconds if nothing listens at the worker's address any
+// more, or with the first heartbeat of a replacement that starts at once, about a second later.
 constexpr Duration kMaxAge = std::chrono::seconds(4);
-// The operating system closes all connections of a process at once; this node reads that one by
-// one, and late when it is short of processor time. A caller may have left that long before.
+// The operating system closes all connections of a process at once. This node reads the closes one
+// by one, with delay when it is short of CPU time. A client may have disconnected that long before.
 constexpr Duration kMaxCloseSpread = std::chrono::milliseconds(300);
-// Between two of the connections that one end closes, as they are read. A connection that broke
-// longer before the others was reset for another reason, and says nothing of when the end was.
+// The longest gap between two closes of the same termination as they are read. A connection that
+// closed longer before the others was reset for another reason, and does not indicate when the
+// worker terminated.
 constexpr Duration kMaxCloseGap = std::chrono::milliseconds(20);
 
-// When the first of the connections that the end closed broke; nullopt: no request was on any.
+// Returns when the first connection closed by the termination was read; nullopt if no request was
+// on any.
 std::optional<Instant> EstimateEnd(const std::vector<InterruptedRequest>& requests) {
   std::optional<Instant> end;
   for (auto request = requests.rbegin(); request != requests.rend(); ++request) {
@@ -54,7 +56,7 @@
     ended_at_ = EstimateEnd(of_worker).value_or(now);
   }
   std::erase_if(of_worker, [this](const InterruptedRequest& request) {
-    // What was sent later went to a worker that was gone already.
+    // Requests sent later went to a worker that had already terminated.
     return request.interrupted_at < ended_at_ - kMaxCloseSpread || request.sent_at > ended_at_;
   });
   return of_worker;
--- a/source/sidecar/interrupted_requests.h
+++ b/source/sidecar/interrupted_requests.h
@@ -1,4 +1,4 @@
-// Which requests were at work in a worker when its process ended.
+// Determines which requests were in flight in a worker when its process terminated.
 #pragma once
 
 #include <deque>
@@ -10,7 +10,7 @@
 
 namespace runshelf::sidecar {
 
-// A request whose connection to the worker went before its answer was whole.
+// A request whose connection to the worker closed before the response was complete.
 struct InterruptedRequest {
   RequestFingerprint fingerprint;
   std::string description;  // See DescribeRequest.
@@ -18,23 +18,26 @@
   std::string worker_id;
   Instant sent_at;
   Instant interrupted_at;
-  bool by_caller = false;  // Its caller left; the worker may have worked on for a moment.
+  bool by_caller = false;  // The client disconnected; the worker may have continued for a moment.
 };
 
-// Remembers interrupted requests for a short while. That a connection broke says little: a worker
-// resets connections beyond its limit, and a caller that leaves closes its own. Only when the
-// worker turns out to have ended do the requests on them count as having been at work under it.
+// Keeps interrupted requests for a few seconds. A closed connection alone does not indicate a
+// termination: a worker resets connections beyond its limit, and a client that disconnects closes
+// its own. The requests on closed connections count as interrupted by a termination only once the
+// worker is known to have terminated.
+//
 // Deterministic; not thread-safe.
 class InterruptedRequests {
  public:
   void Add(InterruptedRequest request);
-  // The worker has ended: those of its requests that were at work then; forgets all of them.
+  // Returns the requests that were in flight when the worker terminated, and removes all requests
+  // of that worker.
   std::vector<InterruptedRequest> TakeInFlight(Instant now, const std::string& worker_id);
 
  private:
-  std::deque<InterruptedRequest> requests_;  // By `interrupted_at`.
-  std::string ended_worker_;                 // That was asked for last,
-  Instant ended_at_{};                       // and when it had ended.
+  std::deque<InterruptedRequest> requests_;  // Ordered by `interrupted_at`.
+  std::string ended_worker_;                 // The worker of the latest query.
+  Instant ended_at_{};                       // When that worker terminated.
 };
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/request_fingerprint.cc
+++ b/source/sidecar/request_fingerprint.cc
@@ -15,7 +15,7 @@
 constexpr std::string_view kHexDigits = "0123456789abcdef";
 constexpr std::array<std::string_view, 2> kCredentialHeaders{"Authorization", "Cookie"};
 
-// Each field goes in with its length: no two lists of fields give the same bytes.
+// Prefixes each field with its length, so that different lists of fields never give the same input.
 class Digest {
  public:
   Digest() { sha256_init(&context_); }
--- a/source/sidecar/request_fingerprint.h
+++ b/source/sidecar/request_fingerprint.h
@@ -1,5 +1,5 @@
-// Tells whether two requests are the same one sent again: by what they ask for and by whom, not by
-// their ids, which are new each time.
+// Identifies repeated requests by their content and their caller, since a retry has a new request
+// id.
 #pragma once
 
 #include <optional>
@@ -11,11 +11,12 @@
 
 namespace runshelf::sidecar {
 
-// 128 bits of a SHA-256 digest, in hexadecimal; the same on all nodes. A cryptographic digest, as
-// callers choose its input: nobody can make the request of somebody else look like his own.
+// 128 bits of a SHA-256 digest in hexadecimal, identical on all nodes. The digest is cryptographic
+// because clients choose its input: a client must not be able to produce the fingerprint of another
+// client's request.
 class RequestFingerprint {
  public:
-  // nullopt when `text` is no fingerprint.
+  // Returns nullopt if `text` is not a fingerprint.
   static std::optional<RequestFingerprint> Parse(std::string_view text);
 
   const std::string& ToString() const { return text_; }
@@ -30,13 +31,13 @@
   std::string text_;
 };
 
-// Method, host, path with query, body, and the credentials by which a server tells its callers
-// apart. Other headers may change when a request is sent again (ids, deadlines, traces), or with
-// the machine that takes it. `key`: of a request that only the holder of its key may run.
+// Covers the method, host, path with query, body, and the credentials that identify the caller.
+// Other headers (ids, deadlines, traces) may change on a retry or with the machine that receives
+// the request. `key`: the shard key, for a request that only the holder of the key may run.
 RequestFingerprint FingerprintOf(const http::Request& request,
                                  std::optional<sharding::ShardKey> key);
 
-// What an operator recognizes the request by: method, host and path, cut to a bounded length.
+// Describes the request for operators: method, host and path, truncated to a bounded length.
 std::string DescribeRequest(const http::Request& request);
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/request_quarantine.cc
+++ b/source/sidecar/request_quarantine.cc
@@ -11,44 +11,48 @@
 namespace runshelf::sidecar {
 namespace {
 
-// The longest that the store grants. What nobody sends any more for this long is let go.
+// The longest lease that the store grants. The quarantine of a request that no client sends for
+// this long expires.
 constexpr Duration kItemLifetime = std::chrono::minutes(10);
-// One lease serves the ends of some time: each end then lasts half of the lifetime at least.
+// One lease is shared by the terminations of this period, so that each record lasts for at least
+// half of the lifetime.
 constexpr Duration kLeaseReuse = kItemLifetime / 2;
-// While a request in quarantine is still sent, its item is kept; by many nodes, at different times.
+// The lease of a quarantine item is renewed while clients still send the request. Random times
+// spread the renewals of many nodes.
 constexpr Duration kRenewMin = std::chrono::minutes(3);
 constexpr Duration kRenewMax = std::chrono::minutes(6);
 constexpr Duration kWriteRetry = std::chrono::milliseconds(250);
-// A write takes some 10 to 40 ms, an unanswered one up to 1.8 s: for that long only this node would
-// know of the end.
+// A write takes 10 to 40 ms, and one that is not answered up to 1.8 s. Until then only this node
+// would know of the termination.
 constexpr Duration kBroadcastDelay = std::chrono::milliseconds(250);
-// A change of the state has come back to its writer by then, as a rule. Where it has not, the
-// others may not have heard of it either.
+// The watch normally delivers a change back to its writer within this time. If it has not, other
+// nodes may not have received it either.
 constexpr Duration kWatchDelay = std::chrono::seconds(1);
-// Nodes that were broadcast of an end write it at different times: the first one's item spares the
-// others theirs.
+// Nodes that received the same termination directly write it at different times: once the first
+// item arrives, the others need not write theirs.
 constexpr Duration kReceivedWriteDelayMin = std::chrono::milliseconds(250);
 constexpr Duration kReceivedWriteDelayMax = std::chrono::milliseconds(1500);
-// How often attempts that broke off are looked at.
+// Interval between checks of interrupted attempts.
 constexpr Duration kWitnessInterval = std::chrono::milliseconds(250);
-// Callers of a request that is at work in the worker it would go to: about as long as it runs.
+// Retry delay while the request is already running in the target worker: its typical run time.
 constexpr Duration kInFlightRetryAfter = std::chrono::milliseconds(150);
-// Longer than the store is away on bad days; the end is known at this node all the same.
+// Longer than typical store outages. This node still applies the termination after the time-out.
 constexpr Duration kWriteTimeout = std::chrono::seconds(60);
-// A trial is counted with two calls to the store, some 10 to 40 ms each. Callers do not wait for a
-// store that has fallen silent, which takes up to 3.6 s to show.
+// Counting a trial takes two calls to the store of 10 to 40 ms each. A store that stopped answering
+// is detected only after up to 3.6 s, which is too long for a client to wait.
 constexpr Duration kTrialDecisionTimeout = std::chrono::milliseconds(300);
-// Callers that were refused because a trial had just begun come back once it is over.
+// Retry delay of clients that were refused because a trial had just started: it is over by then.
 constexpr Duration kTrialRetryAfter = std::chrono::milliseconds(150);
-// Callers come back no earlier while trials cannot be counted: the store is away for seconds.
+// Minimum retry delay while trials cannot be counted: store outages last for seconds.
 constexpr Duration kStoreUnavailableRetryAfter = std::chrono::seconds(1);
-// Callers of a request that no trial will be made of are broadcast the longest.
+// Retry delay of requests for which no further trial will start.
 constexpr Duration kLongRetryAfter = std::chrono::seconds(30);
 constexpr int kMaxReleaseAttempts = 4;
-// The store takes keys of up to 200 bytes.
+// The store accepts keys of up to 200 bytes.
 constexpr size_t kMaxKeyBytes = 190;
 
-// One item for each witness of an end: none writes over what another one saw.
+// Each witness of a termination writes an item of its own, so that no node overwrites the requests
+// that another one recorded.
 std::string EndKey(const std::string& worker_id, const std::string& witness) {
   return KeyOf(kWorkerEndPrefix, worker_id + "/" + witness).substr(0, kMaxKeyBytes);
 }
@@ -131,15 +135,15 @@
   PendingEnd& pending = found->second;
   const bool own = item.key == EndKey(end.worker_id, pending.witness);
   if (pending.writing) {
-    // The answer to the write tells whether this is what it wrote.
+    // The response to the write tells whether this item is the one written.
     if (own) pending.seen = item.revision;
     return;
   }
-  // This node has written it, or another one.
+  // The item was written by this node or by another one.
   if (IsComplete(end)) {
     pending_ends_.erase(found);
   } else if (own && item.revision >= pending.written) {
-    // More of its requests have been broadcast of since.
+    // Further requests of this termination became known after the write.
     pending.written = 0;
   }
 }
@@ -192,8 +196,8 @@
   unresolved_.OnWorkerAt(loop_.Now(), node, worker_id);
 }
 
-// The node beside the worker tells of its end itself, as a rule within some 50 ms. This is for an
-// end after which that node was gone.
+// The local node of a worker normally records a termination within 50 ms. This handles terminations
+// after which that node was gone too.
 void RequestQuarantine::CountWitnessedEnds() {
   for (const UnresolvedAttempts::Attempt& attempt : unresolved_.TakeEnded(loop_.Now())) {
     const auto known = record_.RequestsOf(attempt.worker_id);
@@ -259,8 +263,8 @@
   if (found == pending_ends_.end()) return;
   PendingEnd& pending = found->second;
   pending.writing = false;
-  // It is written again when the store has gone back meanwhile, or more of its requests have been
-  // broadcast of.
+  // Written again if the store was restored in the meantime, or if further requests of this
+  // termination became known.
   if (store::EraOf(revision) < store_.era() || !IsComplete(end)) return;
   pending.written = revision;
   if (pending.seen >= revision) pending_ends_.erase(found);
@@ -344,7 +348,7 @@
   Commit(request, change, [this, request, decided, timer, callback](bool committed) {
     timer->Stop();
     if (std::exchange(*decided, true)) {
-      // It was counted too late, and its caller has been refused.
+      // The trial was counted after the time-out, when its client had already been refused.
       if (committed) ReturnTrial(request);
       return;
     }
@@ -366,7 +370,7 @@
   WritePending();
 }
 
-// Another node may begin a trial at the same time: its change comes first, and the release again.
+// A trial that another node starts concurrently makes the commit fail; the release is then retried.
 void RequestQuarantine::WriteReleases() {
   for (auto entry = pending_releases_.begin(); entry != pending_releases_.end();) {
     const RequestFingerprint request = entry->first;
@@ -394,7 +398,7 @@
 
 void RequestQuarantine::Commit(const RequestFingerprint& request, const CrashRecord::Change& change,
                                std::function<void(bool)> callback) {
-  // A lease of its own: it is kept while the request is still sent.
+  // Each quarantine item has its own lease, which is renewed while clients still send the request.
   store_.GrantLease(kItemLifetime, [this, request, change, callback = std::move(callback)](
                                        absl::StatusOr<store::Lease> lease) {
     if (!lease.ok() || lease->era != store_.era()) return callback(false);
--- a/source/sidecar/request_quarantine.h
+++ b/source/sidecar/request_quarantine.h
@@ -1,10 +1,12 @@
-// Keeps requests that end their workers away from them, on all nodes together.
+// Quarantines requests that terminate the workers that run them, across all nodes.
 //
-// The node beside a worker writes its end to the store, with the requests that were at work in it;
-// so does a node whose try broke off there, in case the node beside the worker is gone as well
-// (UnresolvedAttempts). All nodes hear of it as of every change of the state, those that start
-// later too, and decide alike (CrashRecord). Trials are begun by compare-and-swap, so that the
-// whole fleet runs one at a time and no more than are allowed, whatever each node knows.
+// When a worker terminates, its local node writes a record of the termination to the store, with
+// the requests that were in flight in the worker. A remote node whose attempt at that worker was
+// interrupted writes one as well, in case the local node has failed too (UnresolvedAttempts). All
+// nodes, including those that start later, receive these records through the watch on the store and
+// come to the same decisions (CrashRecord). Trial runs are started by compare-and-swap, so that the
+// fleet runs at most one at a time per request and never more than the limit, whatever each node
+// knows.
 #pragma once
 
 #include <cstdint>
@@ -25,49 +27,51 @@
 
 namespace runshelf::sidecar {
 
-// Belongs to the thread of its loop.
+// Not thread-safe: must be used on the thread of its event loop.
 class RequestQuarantine {
  public:
   RequestQuarantine(event::EventLoop& loop, store::StoreClient& store, const WireFormat& wire,
                     Random& random, LogWriter& log, std::string node);
 
-  // True when the key is one of the items that are kept here.
+  // Returns true if `key` names an item that this class handles.
   static bool IsItemKey(const std::string& key);
-  // False when the item cannot be read; what was known before holds.
+  // Applies an item from the store. Returns false, and changes nothing, if the item cannot be
+  // parsed.
   bool OnItem(const store::Item& item);
+  // An item was removed from the store or expired there.
   void OnRemoved(const std::string& key);
-  // The store came back from an older copy of its data: the leases of before may be another's, and
-  // ends that were written may be gone.
+  // The store was restored from an older copy of its data: leases granted before may now belong to
+  // other clients, and termination records that were written may be missing.
   void OnStoreRestored();
 
-  // Ends that the fleet knew of may be forgotten.
+  // Whether records of worker terminations may be missing from the store; see CrashRecord.
   void SetHistoryMayBeIncomplete(bool history_may_be_incomplete) {
     record_.SetHistoryMayBeIncomplete(history_may_be_incomplete);
   }
 
-  // Tells all other nodes of a worker's end while the store does not take it: this process may be
-  // gone before the store is back.
+  // Sends a worker termination to all other nodes directly while the store does not accept it,
+  // because this process may be gone before the store is available again.
   using EndBroadcaster = std::function<void(const std::string& message)>;
   void set_end_broadcaster(EndBroadcaster broadcaster) { broadcast_end_ = std::move(broadcaster); }
-  // Another node broadcast of an end; false when that cannot be read. `write`: it is to be written
-  // to the store by this node as well.
+  // Applies a worker termination that another node sent directly. Returns false if the message
+  // cannot be parsed. `write`: this node must also write it to the store.
   bool OnBroadcastEnd(const std::string& message, bool write);
 
-  // Told of each change of a quarantine that this node has made: the store has acknowledged it, and
-  // no watch has brought it yet.
+  // Called for each quarantine change of this node that the store has acknowledged but that the
+  // watch has not delivered yet.
   using WriteObserver = std::function<void(const store::Item& item)>;
   void set_on_written(WriteObserver observer) { on_written_ = std::move(observer); }
 
-  // The worker beside this node ended.
+  // The local worker terminated.
   void OnWorkerEnded(const std::string& worker_id,
                      const std::vector<InterruptedRequest>& in_flight);
-  // A try at the worker beside another node broke off, and the request may have run.
+  // An attempt at the worker of another node was interrupted, and the request may have run.
   void OnAttemptInterrupted(const std::string& node, const std::string& worker_id,
                             const RequestFingerprint& request);
-  // This worker is beside the node now.
+  // `worker_id` is now the worker of `node`.
   void OnWorkerAt(const std::string& node, const std::string& worker_id);
 
-  // False: no request needs to be looked at.
+  // Returns false if no request is suspect, so that callers can skip computing fingerprints.
   bool has_suspects() const { return !record_.empty(); }
   Clearance ClearanceOf(const RequestFingerprint& request) const {
     return record_.ClearanceOf(loop_.Now(), request);
@@ -75,23 +79,25 @@
   bool IsQuarantined(const RequestFingerprint& request, size_t excused_elsewhere) const {
     return record_.IsQuarantined(request, excused_elsewhere);
   }
-  // Workers ended under it, and it had no good run since.
+  // Workers terminated while running this request, and it has not completed since.
   bool IsSuspect(const RequestFingerprint& request, size_t excused_elsewhere = 0) const {
     return record_.Ends(request, excused_elsewhere) > 0;
   }
   size_t ExcusedEnds(const RequestFingerprint& request) const {
     return record_.ExcusedEnds(request);
   }
-  // Takes note that one in quarantine was refused; returns when its caller may come back.
+  // Records that a suspect request was refused, and renews the lease of its quarantine item if due.
+  // Returns the delay after which the client should retry.
   Duration OnRefused(const RequestFingerprint& request);
-  // Trials can be counted now. While the store is away none begins.
+  // Whether trials can be counted now. No trial starts while the store is unavailable.
   bool CanCountTrials() const { return store_.reachable() && loop_.Now() >= no_trials_until_; }
-  // Calls back with true when the request may be sent to one worker, once; never inside the call.
+  // Calls `callback` with true if the request may be sent to one worker once. Never calls it before
+  // returning.
   void BeginTrial(const RequestFingerprint& request, const std::string& description,
                   const std::function<void(bool granted)>& callback);
-  // The trial ended without reaching a worker.
+  // The trial ended before the request reached a worker, so that it does not count.
   void ReturnTrial(const RequestFingerprint& request);
-  // The request ran to an answer.
+  // The request ran to completion.
   void OnGoodRun(const RequestFingerprint& request);
 
   size_t quarantined() const { return record_.quarantined(); }
@@ -99,19 +105,20 @@
   uint64_t trials() const { return trials_; }
 
  private:
-  // Kept until the item has been seen as of the present era of the store, which alone tells that
-  // others see it too.
+  // A worker termination that has not been confirmed in the store. It is kept until the watch
+  // delivers the item in the present era of the store: only then is it certain that other nodes
+  // receive it.
   struct PendingEnd {
     Instant since;
-    std::string witness;   // The node that saw the end.
-    Instant not_before{};  // It is not written earlier.
+    std::string witness;   // The node that observed the termination.
+    Instant not_before{};  // Earliest time of the write.
     bool writing = false;
-    store::Revision written = 0;  // Acknowledged with this revision; zero: to be written.
-    store::Revision seen = 0;     // The latest that came of its item while it was written.
-    bool broadcast = false;       // To the other nodes, in place of the store.
+    store::Revision written = 0;  // Revision of the acknowledged write; zero: not written.
+    store::Revision seen = 0;     // Latest revision of the item delivered during the write.
+    bool broadcast = false;       // Sent to the other nodes directly.
   };
 
-  // Writes what is not in the store yet.
+  // Writes all terminations and releases that are not in the store yet.
   void WritePending();
   void WriteEnds();
   void WriteReleases();
@@ -120,16 +127,17 @@
   void OnEndNotWritten(const std::string& worker_id);
   void BroadcastEnd(const std::string& worker_id, PendingEnd* pending);
   void AddPendingEnd(const std::string& worker_id, const PendingEnd& pending);
-  // All requests of the end that are known here are in `end`.
+  // Whether `end` contains all requests that this node knows of for that termination.
   bool IsComplete(const WorkerEnd& end) const;
-  // The store's item of an end.
+  // Applies a termination record from the store.
   void ApplyEndItem(const store::Item& item, const WorkerEnd& end);
-  // Counts the ends that broken attempts tell of, once the node beside the worker had its time.
+  // Records the terminations inferred from interrupted attempts, once the local node of the worker
+  // has had time to record them itself.
   void CountWitnessedEnds();
-  // Calls back with a lease of the present era that lasts for minutes, or with zero when there is
-  // none to be had.
+  // Calls `callback` with a lease granted in the present era that is valid for several minutes, or
+  // with zero if none could be obtained.
   void WithLease(std::function<void(store::LeaseId)> callback);
-  // Calls back with whether the change was made.
+  // Calls `callback` with whether the change was committed.
   void Commit(const RequestFingerprint& request, const CrashRecord::Change& change,
               std::function<void(bool)> callback);
   void Release(const RequestFingerprint& request);
@@ -145,8 +153,8 @@
   EndBroadcaster broadcast_end_;
   WriteObserver on_written_;
   CrashRecord record_;
-  std::map<std::string, PendingEnd> pending_ends_;  // By worker.
-  std::map<std::string, std::string> end_items_;    // Worker, by key of the item in the store.
+  std::map<std::string, PendingEnd> pending_ends_;  // By worker id.
+  std::map<std::string, std::string> end_items_;    // Worker id by key of the item in the store.
   UnresolvedAttempts unresolved_;
   event::Timer witness_timer_;
   struct PendingRelease {
@@ -161,8 +169,8 @@
     store::LeaseId lease = 0;
     Instant renew_at{};
   };
-  std::map<RequestFingerprint, LeaseRenewal> lease_renewals_;  // Of those in quarantine.
-  Instant no_trials_until_{};  // The store did not answer the latest one in time.
+  std::map<RequestFingerprint, LeaseRenewal> lease_renewals_;  // Of quarantined requests.
+  Instant no_trials_until_{};  // Set when the store did not answer the latest trial in time.
   uint64_t refusals_ = 0;
   uint64_t trials_ = 0;
 };
