--- a/source/event/event_loop.cc
+++ b/source/event/event_loop.cc
@@ -6,11 +6,11 @@
 
 EventLoop::EventLoop() {
   uv_loop_init(&loop_);
-  uv_loop_configure(&loop_, UV_METRICS_IDLE_TIME);  // See LoopMonitor.
+  uv_loop_configure(&loop_, UV_METRICS_IDLE_TIME);  // Required by LoopMonitor.
 }
 
 EventLoop::~EventLoop() {
-  // Handles that were closed are freed by their close callbacks, which need turns of the loop.
+  // Closed handles are freed by their close callbacks, which run in further iterations of the loop.
   while (uv_loop_close(&loop_) == UV_EBUSY) {
     if (uv_run(&loop_, UV_RUN_NOWAIT) == 0 && uv_loop_close(&loop_) != UV_EBUSY) return;
     if (uv_loop_alive(&loop_) == 0) return;
@@ -44,7 +44,7 @@
 void Timer::Start(Duration delay, bool repeating) {
   auto rounded = std::chrono::ceil<std::chrono::milliseconds>(delay).count();
   const auto milliseconds = static_cast<uint64_t>(rounded < 0 ? 0 : rounded);
-  // The loop counts from the beginning of its present turn, which may have lasted for long.
+  // libuv counts from the start of the present loop iteration, which may have been long ago.
   uv_update_time(handle_->timer.loop);
   uv_timer_start(
       &handle_->timer,
--- a/source/event/event_loop.h
+++ b/source/event/event_loop.h
@@ -1,7 +1,7 @@
-// The single-threaded event loop that carries connections, timers and signals of a sidecar process.
+// Single-threaded event loop for the connections, timers and signals of a sidecar process.
 //
-// A thin layer over libuv. All objects here belong to the thread that runs the loop, and every
-// callback is made on it. An object may be destroyed from any callback, including its own.
+// A thin layer over libuv. All objects belong to the thread that runs the loop, and all callbacks
+// run on it. An object may be destroyed from any callback, including its own.
 #pragma once
 
 #include <uv.h>
@@ -12,7 +12,7 @@
 
 namespace runshelf::event {
 
-// Owns the libuv loop. Must outlive every timer, stream and listener made on it.
+// Owns the libuv loop. Must outlive every timer, stream and listener created on it.
 class EventLoop : public Clock {
  public:
   EventLoop();
@@ -20,9 +20,9 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // Reads a steady clock that also counts while the process is stopped or the machine is suspended:
-  // meanwhile the node's lease runs out at the store, and what it may act on runs out with it.
-  // Timers do not count the time of a suspension.
+  // Reads a steady clock that also advances while the process is stopped or the machine is
+  // suspended: the node's lease at the store expires in that time, and so must everything that
+  // depends on it. Timers do not advance during a suspension.
   Instant Now() const override;
 
   // Runs until Stop is called.
@@ -35,7 +35,7 @@
   uv_loop_t loop_;
 };
 
-// Calls back once or repeatedly. Destroying the timer stops it.
+// Calls back once or periodically. Destroying the timer stops it.
 class Timer {
  public:
   Timer(EventLoop& loop, std::function<void()> callback);
@@ -43,17 +43,18 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  // Starts or restarts the timer; one that is `repeating` fires every `delay`.
+  // Starts or restarts the timer. If `repeating`, it fires every `delay`.
   void Start(Duration delay, bool repeating = false);
   void Stop();
+  // Whether the timer is running.
   bool active() const;
 
  private:
   struct Handle;
-  Handle* handle_;  // Freed by the loop after it was closed.
+  Handle* handle_;  // Deleted by the close callback on the loop.
 };
 
-// Calls back for each arrival of one signal.
+// Calls back each time the signal is received.
 class SignalWatcher {
  public:
   SignalWatcher(EventLoop& loop, int signal_number, std::function<void()> callback);
--- a/source/event/file_watcher.h
+++ b/source/event/file_watcher.h
@@ -1,4 +1,5 @@
-// Notices that a file was written or replaced. Asks from time to time: not every system tells.
+// Detects that a file was written or replaced. Polls the file, because not every system supports
+// change notifications.
 #pragma once
 
 #include <functional>
@@ -8,17 +9,19 @@
 
 namespace runshelf::event {
 
+// Polls one file. The callback runs on the event loop.
 class FileWatcher {
  public:
-  // `on_changed` is called after the file's time, size or identity changed; not when it goes away.
+  // `on_changed` is called after the modification time, size or inode of the file changed, but not
+  // when it is removed.
   FileWatcher(EventLoop& loop, std::string path, std::function<void()> on_changed,
               Duration interval = std::chrono::seconds(2));
 
-  // What is there now counts as known, for example because it was read on a signal.
+  // Treats the present content as known, for example because it was just read on a signal.
   void MarkCurrent();
 
  private:
-  // Tells one content of the file from another.
+  // Distinguishes versions of the file's content.
   struct FileVersion {
     int64_t modified_ns = 0;
     int64_t size = 0;
@@ -27,7 +30,7 @@
     bool operator==(const FileVersion&) const = default;
   };
 
-  // A zero stamp when there is no such file.
+  // Returns a zero version if the file does not exist.
   FileVersion ReadVersion() const;
   void Check();
 
--- a/source/event/loop_monitor.cc
+++ b/source/event/loop_monitor.cc
@@ -7,8 +7,8 @@
 struct LoopMonitor::Handle {
   uv_prepare_t prepare{};
   std::function<void(Duration)> on_iteration;
-  uint64_t iteration_started_at = 0;  // In nanoseconds; zero: no turn was seen yet.
-  uint64_t idle_at_start = 0;         // Nanoseconds that the loop had waited by then.
+  uint64_t iteration_started_at = 0;  // In nanoseconds; zero: before the first iteration.
+  uint64_t idle_at_start = 0;         // Total idle time of the loop by then, in nanoseconds.
 
   void OnBeforeWait() {
     const uint64_t now = uv_hrtime();
@@ -32,7 +32,7 @@
   uv_prepare_start(&handle_->prepare, [](uv_prepare_t* prepare) {
     static_cast<Handle*>(prepare->data)->OnBeforeWait();
   });
-  // It does not keep the loop running by itself.
+  // The handle must not keep the loop alive.
   uv_unref(reinterpret_cast<uv_handle_t*>(&handle_->prepare));
 }
 
--- a/source/event/loop_monitor.h
+++ b/source/event/loop_monitor.h
@@ -1,4 +1,4 @@
-// Measures for how long the event loop is at work between two waits.
+// Measures the busy time of event loop iterations.
 #pragma once
 
 #include <functional>
@@ -7,8 +7,8 @@
 
 namespace runshelf::event {
 
-// Calls back after each turn of the loop with the time that its callbacks took. While a turn lasts
-// nothing else happens in the process: connections, health checks and timers wait.
+// Calls back after each loop iteration with the time spent in its callbacks. Connections, health
+// checks and timers are not served during an iteration.
 class LoopMonitor {
  public:
   LoopMonitor(EventLoop& loop, std::function<void(Duration)> on_iteration);
@@ -18,7 +18,7 @@
 
  private:
   struct Handle;
-  Handle* handle_;  // Freed by the loop after it was closed.
+  Handle* handle_;  // Deleted by the close callback on the loop.
 };
 
 }  // namespace runshelf::event
--- a/source/event/tcp_stream.cc
+++ b/source/event/tcp_stream.cc
@@ -13,14 +13,14 @@
 namespace {
 
 constexpr int kListenBacklog = 512;
-// How long bytes may stay unacknowledged before a connection counts as broken.
+// How long sent data may stay unacknowledged before the connection is considered broken.
 constexpr unsigned kUserTimeoutMs = 1500;
 constexpr int kKeepAliveIdleSeconds = 1;
 constexpr int kKeepAliveIntervalSeconds = 1;
 constexpr int kKeepAliveProbes = 2;
 constexpr size_t kReadBufferBytes = size_t{64} * 1024;
 
-// One buffer serves all connections: libuv fills it and the observer consumes it in one step.
+// One buffer serves all connections, because the observer consumes the data before the next read.
 char* SharedReadBuffer() {
   static std::vector<char> buffer(kReadBufferBytes);
   return buffer.data();
@@ -30,7 +30,7 @@
 
 enum class Side { kOutgoing, kAccepted };
 
-// An accepted connection gets no bound on unacknowledged bytes: a client may read slowly.
+// Accepted connections have no limit for unacknowledged data, because a client may read slowly.
 void SetSocketOptions(uv_tcp_t* tcp, Side side) {
   uv_os_fd_t descriptor = -1;
   if (uv_fileno(reinterpret_cast<uv_handle_t*>(tcp), &descriptor) != 0) return;
@@ -70,8 +70,8 @@
   uv_shutdown_t shutdown{};
   uv_write_t write{};
   StreamObserver* observer = nullptr;
-  std::string writing;  // Being written by libuv.
-  std::string pending;  // To be written after it.
+  std::string writing;  // Passed to uv_write.
+  std::string pending;  // To be written after `writing`.
   bool connected = false;
   bool write_active = false;
   bool shutdown_requested = false;
@@ -85,11 +85,12 @@
     if (observer != nullptr) observer->OnEnd(end);
   }
 
-  // libuv takes a hang-up after a short read for an orderly end without reading once more, and a
-  // reset hangs up too. The difference decides whether an answer without a length is complete.
+  // After a short read libuv reports a hang-up as an orderly close without reading again, although
+  // a reset hangs up too. The difference decides whether a response without a length is complete.
   bool IsOrderlyClose() const { return Peek() == 0; }
 
-  // What a read would return now: the number of bytes, zero at an orderly end, or -1 with errno.
+  // Returns what a read would return now: the number of bytes, zero at an orderly close, or -1 with
+  // errno.
   ssize_t Peek() const {
     uv_os_fd_t descriptor = -1;
     if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&tcp), &descriptor) != 0) {
--- a/source/event/tcp_stream.h
+++ b/source/event/tcp_stream.h
@@ -11,7 +11,7 @@
 
 namespace runshelf::event {
 
-// An IPv4 address and a port, parsed from "10.1.0.8:8300".
+// An IPv4 address and a port, in the form "10.1.0.8:8300".
 struct Endpoint {
   std::string ip;
   uint16_t port = 0;
@@ -20,36 +20,36 @@
   auto operator<=>(const Endpoint&) const = default;  // NOLINT(modernize-use-nullptr): false alarm.
 
   std::string ToString() const;
-  // Returns false, leaving `*endpoint` alone, when `text` has another form.
+  // Returns false and leaves `*endpoint` unchanged if `text` is not a valid endpoint.
   static bool Parse(std::string_view text, Endpoint* endpoint);
 };
 
 // How the reading side of a connection ended.
 enum class StreamEnd {
-  kClosed,  // The peer closed in an orderly way.
-  kReset,   // The connection broke, or could not be made.
-  // It could not be made: the machine answers that nothing listens at the address.
+  kClosed,  // The peer closed the connection in an orderly way.
+  kReset,   // The connection was reset, or could not be established.
+  // Connecting failed with ECONNREFUSED: nothing listens at the address.
   kRefused,
 };
 
-// Receives what happens on a stream. The stream may be destroyed inside any call.
+// Receives the events of a stream. The stream may be destroyed inside any call.
 class StreamObserver {
  public:
   virtual ~StreamObserver() = default;
-  // An outgoing connection was made.
+  // An outgoing connection was established.
   virtual void OnConnected() {}
   virtual void OnData(std::string_view data) = 0;
-  // Called at most once; nothing follows it.
+  // Called at most once, as the last event.
   virtual void OnEnd(StreamEnd end) = 0;
-  // All bytes handed to Write were passed to the operating system.
+  // All bytes passed to Write were handed to the operating system.
   virtual void OnDrained() {}
 };
 
-// One TCP connection. Destroying the object closes the connection at once; bytes that the operating
-// system has taken are still sent.
+// One TCP connection. Destroying the object closes the connection immediately; bytes already handed
+// to the operating system are still sent.
 class TcpStream {
  public:
-  // Starts to connect; bytes written before OnConnected wait for it.
+  // Starts to connect. Bytes written before OnConnected are buffered.
   static std::unique_ptr<TcpStream> Connect(EventLoop& loop, const Endpoint& endpoint,
                                             StreamObserver* observer);
   ~TcpStream();
@@ -59,16 +59,17 @@
   void set_observer(StreamObserver* observer);
   void StartReading();
   void StopReading();
+  // Sends as much as the operating system accepts now, and buffers the rest without limit.
   void Write(std::string_view bytes);
-  // Bytes handed to Write that the operating system has not taken yet.
+  // Bytes passed to Write that have not been handed to the operating system yet.
   size_t unsent_bytes() const;
-  // The peer closed or broke the connection, which may not have been read yet while other events
-  // are worked off. Costs a system call. False while unread bytes lie before the end.
+  // Whether the peer closed or reset the connection, even if the event loop has not processed that
+  // yet. Returns false while unread data precedes the close. Costs a system call.
   bool PeerDisconnected() const;
-  // Nothing lies unread, and the peer has neither closed nor broken the connection. Costs a system
-  // call.
+  // Whether there is no unread data and the peer has neither closed nor reset the connection. Costs
+  // a system call.
   bool IsIdleAndOpen() const;
-  // Sends what is outstanding and then closes the writing side; reading goes on.
+  // Sends buffered data and then closes the sending side; reading continues.
   void ShutdownWriting();
 
  private:
@@ -87,8 +88,9 @@
   TcpListener(const TcpListener&) = delete;
   TcpListener& operator=(const TcpListener&) = delete;
 
-  // Returns zero, or a negative libuv error code. Port 0 lets the system choose.
+  // Returns zero, or a negative libuv error code. For port 0 the system chooses a port.
   int Listen(const Endpoint& endpoint);
+  // Returns zero if the port cannot be determined.
   uint16_t bound_port() const;
 
  private:
--- a/source/event/udp_socket.h
+++ b/source/event/udp_socket.h
@@ -1,4 +1,4 @@
-// Datagrams on the event loop.
+// UDP datagrams on the event loop.
 #pragma once
 
 #include <functional>
@@ -9,7 +9,8 @@
 
 namespace runshelf::event {
 
-// Sends and receives datagrams on one address. What cannot be sent at once is dropped.
+// Sends and receives datagrams on one address. Datagrams that cannot be sent immediately are
+// dropped.
 class UdpSocket {
  public:
   using ReceiveCallback = std::function<void(std::string_view)>;
@@ -20,6 +21,7 @@
 
   // Returns zero, or a negative libuv error code.
   int Bind(const Endpoint& endpoint);
+  // Drops datagrams of more than 8192 bytes.
   void Send(const Endpoint& to, std::string_view data);
 
  private:
