--- a/tests/event/event_loop_test.cc
+++ b/tests/event/event_loop_test.cc
@@ -42,7 +42,7 @@
   CHECK(RunUntil(loop, [&] { return fired; }));
 }
 
-// On a machine that was suspended since it started, the monotonic clock is behind.
+// On a machine that has been suspended since boot, CLOCK_MONOTONIC lags behind CLOCK_BOOTTIME.
 TEST(EventLoop, ClockIncludesSuspendedTime) {
   timespec time{};
   clock_gettime(CLOCK_BOOTTIME, &time);
@@ -53,8 +53,8 @@
   CHECK(loop.Now() < since_start + std::chrono::seconds(1));
 }
 
-// Guards against calls that count as unanswered as soon as they are made, since the turn of the
-// loop that made them had lasted for longer than their time-out.
+// Guards against calls that time out immediately because the loop iteration that made them had
+// already lasted longer than their time-out.
 TEST(EventLoop, TimerStartedInLongIterationRunsFullDelay) {
   Instant started{};
   std::optional<Duration> ran;
@@ -71,7 +71,7 @@
   CHECK(*ran >= std::chrono::milliseconds(99));
 }
 
-// Guards against a loop that stands still over one event, and of which nothing shows it.
+// Guards against an event that blocks the loop for a long time without being reported.
 TEST(EventLoop, MonitorMeasuresBusyTimeOnly) {
   Duration longest{0};
   LoopMonitor monitor(loop, [&](Duration busy_time) { longest = std::max(longest, busy_time); });
@@ -111,7 +111,8 @@
   std::string received;
   UdpSocket receiver(loop, [&](std::string_view data) { received = data; });
   UdpSocket sender(loop, nullptr);
-  // Any free port would do; a fixed one below the ephemeral range may be taken, so try some.
+  // Any free port will do. A fixed port below the ephemeral range may be in use, so several are
+  // tried.
   Endpoint endpoint{"127.0.0.1", 21870};
   while (receiver.Bind(endpoint) != 0 && endpoint.port < 21900) ++endpoint.port;
   CHECK_EQUAL(0, sender.Bind({"127.0.0.1", 0}));
--- a/tests/event/loop_runner.h
+++ b/tests/event/loop_runner.h
@@ -1,4 +1,4 @@
-// Runs an event loop until something has happened, with a bound on the time.
+// Runs an event loop until a condition holds or a time limit expires.
 #pragma once
 
 #include <functional>
@@ -19,7 +19,7 @@
   return done();
 }
 
-// Lets the loop work for a while.
+// Runs the loop for `time`.
 inline void RunFor(EventLoop& loop, Duration time) {
   RunUntil(
       loop, [] { return false; }, time);
--- a/tests/sidecar/crash_items_test.cc
+++ b/tests/sidecar/crash_items_test.cc
@@ -35,7 +35,7 @@
   CHECK(read->worker_ids == item.worker_ids);
 }
 
-// Other writers may put anything under these keys.
+// Other clients of the store may write arbitrary data to these keys.
 TEST(CrashItems, RejectsInvalidItems) {
   const std::string fingerprint = std::string("\"") + kFingerprint + "\"";
   for (const std::string& text :
--- a/tests/sidecar/crash_record_test.cc
+++ b/tests/sidecar/crash_record_test.cc
@@ -1,5 +1,5 @@
-// The load that CrashRecord answers: one request that comes about once a second, at any node, and
-// ends each worker that begins it, among hundreds of others that are at work in those workers.
+// Models a poison request that arrives about once a second at any node and terminates each worker
+// that starts it, among hundreds of unrelated requests in flight in those workers.
 #include "source/sidecar/crash_record.h"
 
 #include <CppUTest/TestHarness.h>
@@ -36,7 +36,7 @@
     record.OnWorkerEnd(Worker(worker), requests);
   }
 
-  // As the store takes the change.
+  // Applies the change as if the store had committed it.
   void Take(Instant now, const CrashRecord::Change& change) {
     record.OnQuarantine(now, poison, change.item, ++revision);
   }
@@ -55,7 +55,8 @@
   CHECK(record.ClearanceOf(kStart, Fingerprint("a")) == Clearance::kFree);
 }
 
-// Nodes hear of an end from the store, the one beside the worker before that.
+// All nodes receive a termination from the store; the local node of the worker knows it before
+// that.
 TEST(CrashRecord, RepeatedReportCountsOnce) {
   for (int time = 0; time < 5; ++time) End(1, {poison});
   CHECK_EQUAL(1U, record.Ends(poison));
@@ -68,7 +69,7 @@
   CHECK_EQUAL(2U, record.RequestsOf(Worker(1)).size());
 }
 
-// The poison one costs two workers and four trials, however often it comes.
+// A poison request terminates two workers and gets four trials, however often it is sent.
 TEST(CrashRecord, TerminatesBoundedNumberOfWorkers) {
   size_t workers = 0;
   Instant now = kStart;
@@ -82,7 +83,7 @@
   CHECK(!record.UntilTrial(now, poison).has_value());
 }
 
-// The node beside the worker was lost with it, each time from the third run on.
+// From the third run on the local node of the worker failed together with the worker.
 TEST(CrashRecord, UnobservedTerminationsAllowNoFurtherRun) {
   End(1, {poison});
   End(2, {poison});
@@ -96,7 +97,7 @@
   CHECK_EQUAL(6U, runs);
 }
 
-// Two runs began before the first end was known everywhere.
+// Two runs started before all nodes knew of the first termination.
 TEST(CrashRecord, ConcurrentRunReplacesTrial) {
   for (size_t worker = 1; worker <= 3; ++worker) End(worker, {poison});
   size_t workers = 3;
@@ -109,8 +110,8 @@
   CHECK_EQUAL(6U, workers);
 }
 
-// Users count each run that the end of a worker cut. A request that was at work four times in the
-// first worker was run four times more, long after that.
+// Users count each interrupted run. Guards against a request that had four runs in flight in the
+// first worker and still got four more runs long after that.
 TEST(CrashRecord, RunsInterruptedTogetherReplaceTrials) {
   const std::map<size_t, size_t> trials_by_runs{{1, 4}, {2, 3}, {3, 2}, {4, 2}};
   for (const auto& [runs, allowed] : trials_by_runs) {
@@ -129,7 +130,7 @@
   }
 }
 
-// Other nodes write the end that they were told of.
+// Other nodes write the termination that was sent to them directly.
 TEST(CrashRecord, RepeatedRunsOfOneTerminationAreKept) {
   End(1, {poison, Fingerprint("a"), poison});
   End(1, {poison, poison, Fingerprint("a")});
@@ -137,7 +138,7 @@
   CHECK_EQUAL(1U, record.Ends(poison));
 }
 
-// However many workers a common loss of power ended under it.
+// A power failure may terminate any number of workers under a harmless request.
 TEST(CrashRecord, SimultaneousTerminationsLeaveATrial) {
   for (size_t worker = 1; worker <= 40; ++worker) End(worker, {poison});
   CHECK(At(kStart) == Clearance::kTrial);
@@ -172,7 +173,8 @@
   CHECK(At(kStart) == Clearance::kTrial);
 }
 
-// This node has not run it; the one that takes its requests has, since the first end.
+// This node has not seen the request complete, but the node that forwarded it has, after the first
+// termination.
 TEST(CrashRecord, CompletedRunsAtAnotherNodeCount) {
   End(1, {poison});
   CHECK_EQUAL(0U, record.Ends(poison, 1));
@@ -180,7 +182,7 @@
   CHECK(record.IsQuarantined(poison));
   CHECK(!record.IsQuarantined(poison, 1));
   CHECK_EQUAL(1U, record.Ends(poison, 1));
-  // Here it has run as well.
+  // The request now completes at this node too.
   record.OnGoodRun(poison);
   CHECK_EQUAL(2U, record.ExcusedEnds(poison));
   End(3, {poison});
@@ -204,7 +206,7 @@
   End(1, {poison});
   CHECK(!record.OnGoodRun(poison));
   End(2, {poison});
-  // They may hold both against it.
+  // Other nodes may count both terminations against it.
   CHECK(record.OnGoodRun(poison));
   Take(kStart, record.Release(poison));
   CHECK(!record.OnGoodRun(poison));
@@ -242,7 +244,8 @@
   CHECK_EQUAL(3U, record.BeginTrial(poison).item.trials);
 }
 
-// Once it has lapsed one run, not three, tells whether the request still ends its worker.
+// After the quarantine expired a single run, not three, tells whether the request still terminates
+// its worker.
 TEST(CrashRecord, OneTerminationSufficesAfterQuarantineExpired) {
   for (size_t worker = 1; worker <= 3; ++worker) End(worker, {poison});
   Take(kStart, record.BeginTrial(poison));
@@ -261,7 +264,7 @@
   CHECK(record.empty());
 }
 
-// A common loss of power ends hundreds of workers, with some twenty requests in each.
+// A power failure terminates hundreds of workers with about twenty requests each.
 TEST(CrashRecord, UnrelatedRequestsDoNotEvictPoisonRequest) {
   End(1, {poison});
   End(2, {poison});
@@ -277,8 +280,8 @@
   CHECK(At(kStart) == Clearance::kTrial);
 }
 
-// Guards against a request that ended workers before, which nobody remembers: with the usual number
-// of runs it has more after the proof than users allow.
+// Guards against a request whose earlier terminations are missing from the store: with the usual
+// limit it would get more runs after the proof than users accept.
 TEST(CrashRecord, IncompleteHistoryLimitsRequestToThreeRuns) {
   record.SetHistoryMayBeIncomplete(true);
   size_t runs = 1;
@@ -293,14 +296,14 @@
   CHECK_FALSE(record.UntilTrial(now, poison).has_value());
 }
 
-// Guards against runs beside each other that are not counted where ends may be forgotten.
+// Guards against concurrent runs that are not counted while the history may be incomplete.
 TEST(CrashRecord, IncompleteHistoryCountsEachInterruptedRun) {
   record.SetHistoryMayBeIncomplete(true);
   End(1, {poison, poison, poison});
   CHECK(At(kStart) == Clearance::kQuarantined);
 }
 
-// Guards against innocent requests that stay refused after the fleet was strict.
+// Guards against harmless requests that stay refused after the stricter rules applied.
 TEST(CrashRecord, IncompleteHistoryCompletedRunClearsRequest) {
   record.SetHistoryMayBeIncomplete(true);
   End(1, {poison});
--- a/tests/sidecar/interrupted_requests_test.cc
+++ b/tests/sidecar/interrupted_requests_test.cc
@@ -42,14 +42,14 @@
   requests.Add(Make("a", milliseconds(0), milliseconds(100)));
   requests.Add(Make("late", milliseconds(102), milliseconds(103)));
   STRCMP_EQUAL("a ", Ids(requests.TakeInFlight(kStart + milliseconds(130), "w1")).c_str());
-  // Nor what came after the end was noticed.
+  // Nor are requests sent after the termination was detected.
   requests.Add(Make("later", milliseconds(160), milliseconds(161)));
   requests.Add(Make("read late", milliseconds(20), milliseconds(170)));
   STRCMP_EQUAL("read late ", Ids(requests.TakeInFlight(kStart + milliseconds(180), "w1")).c_str());
 }
 
-// The one that ended the worker was sent a moment before that; a caller of another one had left
-// just then, and a connection had been reset.
+// The poison request was sent just before the termination. Shortly before, a client of another
+// request had disconnected and a connection had been reset.
 TEST(InterruptedRequests, DisconnectsAndResetsDoNotDetermineTerminationTime) {
   InterruptedRequest left = Make("left", milliseconds(0), milliseconds(50));
   left.by_caller = true;
@@ -61,14 +61,15 @@
                Ids(requests.TakeInFlight(kStart + milliseconds(110), "w1")).c_str());
 }
 
-// A connection that the worker reset seconds before its end says nothing of the end.
+// A connection that the worker reset a second before its termination does not indicate when it
+// terminated.
 TEST(InterruptedRequests, OmitsConnectionsResetLongBeforeTermination) {
   requests.Add(Make("reset", milliseconds(0), milliseconds(10)));
   requests.Add(Make("a", milliseconds(900), milliseconds(1000)));
   STRCMP_EQUAL("a ", Ids(requests.TakeInFlight(kStart + milliseconds(1010), "w1")).c_str());
 }
 
-// The only one at work, and its caller did not wait for the end.
+// The only request in flight, whose client disconnected before the termination.
 TEST(InterruptedRequests, IncludesRequestOfClientThatDisconnectedJustBefore) {
   InterruptedRequest left = Make("poison", milliseconds(0), milliseconds(50));
   left.by_caller = true;
--- a/tests/sidecar/request_fingerprint_test.cc
+++ b/tests/sidecar/request_fingerprint_test.cc
@@ -56,7 +56,7 @@
   STRCMP_EQUAL(Fingerprint(Request()).c_str(), Fingerprint(again).c_str());
 }
 
-// A field that ends where another one begins must not give the same bytes.
+// Moving bytes from one field to the next must change the digest.
 TEST(RequestFingerprint, SeparatesFields) {
   http::Request left = Request();
   left.head.headers.Remove("Cookie");
@@ -66,7 +66,7 @@
   CHECK(Fingerprint(left) != Fingerprint(right));
 }
 
-// All nodes must agree, whatever they are built with.
+// All nodes must compute the same fingerprint, whatever toolchain they are built with.
 TEST(RequestFingerprint, IsTheSameOnAllNodes) {
   http::Request request;
   request.head.method = "GET";
--- a/tests/sidecar/stop_schedule_test.cc
+++ b/tests/sidecar/stop_schedule_test.cc
@@ -35,7 +35,8 @@
   CHECK(schedule.Notice(After(9000)) == StopNotice{});
 }
 
-// What is taken is over, at its deadline at the latest, before the stop is out of time.
+// Every accepted request completes, at its deadline at the latest, before the stop runs out of
+// time.
 TEST(StopSchedule, RequestThatEndsInTimeCompletesBeforeProcessEnds) {
   schedule.Begin(begun);
   CHECK(schedule.EndsInTime(After(5000)));
