--- a/source/sidecar/crash_record.cc
+++ b/source/sidecar/crash_record.cc
@@ -6,30 +6,33 @@
 namespace runshelf::sidecar {
 namespace {
 
-// From here on each run is counted before it is sent. One end would be too few: it puts all
-// requests of a worker in quarantine, some 8 to 20, each time that one ends for a reason of its
-// own.
+// Number of terminations from which each run is counted before it is sent. A threshold of one would
+// quarantine all requests of a worker, some 8 to 20, each time a worker terminates for an unrelated
+// reason.
 constexpr size_t kEndsForQuarantine = 2;
-// Of a request that may have ended workers before, which nobody remembers.
-constexpr size_t kEndsForQuarantineWhenForgotten = 1;
-// Runs of such a request, its first one and trials: those that users allow after the proof.
-constexpr uint32_t kMaxRunsWhenForgotten = 3;
-// Users take three ends for proof, and allow three more runs after that, over the whole day. The
-// first trial is the third run. A request that is there by chance under five ends is served.
+// The threshold while earlier terminations of a request may be missing from the store.
+constexpr size_t kEndsForQuarantineIfIncomplete = 1;
+// Runs of such a request, including the first one and its trials: as many as users accept after
+// proof.
+constexpr uint32_t kMaxRunsIfIncomplete = 3;
+// Users take three terminations as proof, and accept three more runs after that in a whole day. The
+// first trial is the third run. A request that happened to run under five unrelated terminations is
+// still served.
 constexpr uint32_t kMaxTrials = 4;
-// Several runs of a request may be at work in one worker: users count each run that an end cuts.
-constexpr size_t kRunsThatAreProof = 3;
-// A run takes some 100 ms, and its outcome is known everywhere within about half a second.
+// Several runs of a request may be in flight in one worker. Users count each interrupted run.
+constexpr size_t kRunsInOneEndForProof = 3;
+// A run takes about 100 ms, and all nodes know its outcome within about 500 ms.
 constexpr Duration kTrialSpacing = std::chrono::seconds(1);
-// Some hundred bytes each. A common loss of power ends hundreds of workers, with some 20 requests
-// in each.
+// A few hundred bytes each. A power failure terminates hundreds of workers with about 20 requests
+// each.
 constexpr size_t kMaxSuspects = 20000;
-// Each lapses some minutes after it was written. Of a flood beyond this the rest is not counted.
+// Each termination expires minutes after it was written. Terminations beyond this limit are
+// ignored.
 constexpr size_t kMaxEnds = 5000;
-// Named in an item, which is passed on to all nodes.
+// Limits the size of an item, which is sent to all nodes.
 constexpr size_t kMaxWorkersInItem = 16;
 
-// How many of `names` are not in `others`.
+// Returns the number of `names` that are not in `others`.
 size_t CountMissing(const std::set<std::string>& names, const std::set<std::string>& others) {
   return static_cast<size_t>(std::count_if(
       names.begin(), names.end(), [&](const std::string& name) { return !others.contains(name); }));
@@ -37,27 +40,28 @@
 
 }  // namespace
 
-// Excused are always the first ones.
+// Both counts of excused terminations cover the earliest ones, so that they overlap.
 size_t CrashRecord::Ends(const Suspect& suspect, size_t excused_elsewhere) {
   const size_t all = suspect.worker_ids.size();
   return std::min(CountMissing(suspect.worker_ids, suspect.excused),
                   all - std::min(all, excused_elsewhere));
 }
 
-void CrashRecord::SetMayHaveForgotten(bool may_have_forgotten) {
-  if (may_have_forgotten == may_have_forgotten_) return;
-  may_have_forgotten_ = may_have_forgotten;
-  for (const auto& [request, suspect] : suspects_) NoteChanged(request);
+void CrashRecord::SetHistoryMayBeIncomplete(bool history_may_be_incomplete) {
+  if (history_may_be_incomplete == history_may_be_incomplete_) return;
+  history_may_be_incomplete_ = history_may_be_incomplete;
+  for (const auto& [request, suspect] : suspects_) UpdateQuarantined(request);
 }
 
 bool CrashRecord::Quarantined(const Suspect& suspect, size_t excused_elsewhere) const {
   if (suspect.item.has_value() && !suspect.item->released) return true;
-  const size_t usual = may_have_forgotten_ ? kEndsForQuarantineWhenForgotten : kEndsForQuarantine;
+  const size_t usual =
+      history_may_be_incomplete_ ? kEndsForQuarantineIfIncomplete : kEndsForQuarantine;
   const size_t enough = suspect.was_quarantined ? 1 : usual;
   return Ends(suspect, excused_elsewhere) >= enough;
 }
 
-size_t CrashRecord::RunsCut(const Suspect& suspect) {
+size_t CrashRecord::InterruptedRuns(const Suspect& suspect) {
   size_t sum = 0;
   for (const auto& [worker_id, runs] : suspect.runs) {
     if (!suspect.excused.contains(worker_id)) sum += runs;
@@ -67,23 +71,23 @@
 
 bool CrashRecord::OneEndIsProof(const Suspect& suspect) {
   return std::any_of(suspect.runs.begin(), suspect.runs.end(), [&suspect](const auto& entry) {
-    return entry.second >= kRunsThatAreProof && !suspect.excused.contains(entry.first);
+    return entry.second >= kRunsInOneEndForProof && !suspect.excused.contains(entry.first);
   });
 }
 
-// Runs that began before the second end was known everywhere are no trials, but take the place of
-// one: then the request has been cut three times before its first trial, and all trials come after
-// the proof. Where the first end was proof by itself, the second one may come after it as well.
-// They do not take more, since a common loss of power ends many workers under a request that is
-// innocent.
+// Runs that started before all nodes knew of the second termination are not trials, but use up one:
+// the request was then interrupted three times before its first trial, so that all trials follow
+// the proof. If the first termination was proof by itself, the second one may follow the proof too,
+// and uses up another. They never use up more, because a power failure terminates many workers
+// under a harmless request.
 uint32_t CrashRecord::TrialsLeft(const Suspect& suspect) const {
   const bool has_item = suspect.item.has_value() && !suspect.item->released;
   const uint32_t begun = has_item ? suspect.item->trials : 0;
-  if (may_have_forgotten_) {
-    const auto runs = std::max(static_cast<uint32_t>(RunsCut(suspect)), begun + 1);
-    return runs >= kMaxRunsWhenForgotten ? 0 : kMaxRunsWhenForgotten - runs;
+  if (history_may_be_incomplete_) {
+    const auto runs = std::max(static_cast<uint32_t>(InterruptedRuns(suspect)), begun + 1);
+    return runs >= kMaxRunsIfIncomplete ? 0 : kMaxRunsIfIncomplete - runs;
   }
-  const bool proven_before = RunsCut(suspect) > kEndsForQuarantine + begun;
+  const bool proven_before = InterruptedRuns(suspect) > kEndsForQuarantine + begun;
   const uint32_t used = begun + (proven_before ? 1 : 0) + (OneEndIsProof(suspect) ? 1 : 0);
   return used >= kMaxTrials ? 0 : kMaxTrials - used;
 }
@@ -93,37 +97,37 @@
   return found == suspects_.end() ? nullptr : &found->second;
 }
 
-CrashRecord::Suspect& CrashRecord::Remember(const RequestFingerprint& request) {
+CrashRecord::Suspect& CrashRecord::FindOrAdd(const RequestFingerprint& request) {
   const auto found = suspects_.find(request);
   if (found != suspects_.end()) return found->second;
-  if (suspects_.size() >= kMaxSuspects) MakeRoom();
+  if (suspects_.size() >= kMaxSuspects) EvictOne();
   Suspect& suspect = suspects_[request];
   suspect.number = next_number_++;
   by_age_.emplace(suspect.number, request);
   return suspect;
 }
 
-// Those that were there once go first, the oldest before others: what ends workers is there again
-// and again, and a flood of bystanders does not push it out.
-void CrashRecord::MakeRoom() {
+// Evicts the oldest request that is not quarantined, or the oldest of all. A poison request is
+// interrupted repeatedly, so that a flood of unrelated requests does not evict it.
+void CrashRecord::EvictOne() {
   const auto dispensable = [this](const auto& entry) {
     return !Quarantined(suspects_.at(entry.second));
   };
   auto victim = std::find_if(by_age_.begin(), by_age_.end(), dispensable);
   if (victim == by_age_.end()) victim = by_age_.begin();
-  Forget(victim->second);
+  Remove(victim->second);
 }
 
-void CrashRecord::Forget(const RequestFingerprint& request) {
+void CrashRecord::Remove(const RequestFingerprint& request) {
   const auto found = suspects_.find(request);
   const uint64_t number = found->second.number;
   quarantined_.erase(request);
   suspects_.erase(found);
-  // Last: `request` may be the one that stands here.
+  // Last, because `request` may refer to the key in this entry.
   by_age_.erase(number);
 }
 
-void CrashRecord::NoteChanged(const RequestFingerprint& request) {
+void CrashRecord::UpdateQuarantined(const RequestFingerprint& request) {
   if (Quarantined(suspects_.at(request))) {
     quarantined_.insert(request);
   } else {
@@ -133,22 +137,22 @@
 
 std::vector<RequestFingerprint> CrashRecord::OnWorkerEnd(
     const std::string& worker_id, const std::vector<RequestFingerprint>& requests) {
-  std::vector<RequestFingerprint> brought;
-  if (ends_.size() >= kMaxEnds && !ends_.contains(worker_id)) return brought;
+  std::vector<RequestFingerprint> newly_quarantined;
+  if (ends_.size() >= kMaxEnds && !ends_.contains(worker_id)) return newly_quarantined;
   std::vector<RequestFingerprint>& known = ends_[worker_id];
-  std::map<RequestFingerprint, size_t> told;
+  std::map<RequestFingerprint, size_t> reported;
   for (const RequestFingerprint& request : requests) {
-    Suspect& suspect = Remember(request);
+    Suspect& suspect = FindOrAdd(request);
     size_t& runs = suspect.runs[worker_id];
-    if (++told[request] <= runs) continue;
+    if (++reported[request] <= runs) continue;
     ++runs;
     known.push_back(request);
     const bool before = Quarantined(suspect);
     if (!suspect.worker_ids.insert(worker_id).second) continue;
-    NoteChanged(request);
-    if (!before && Quarantined(suspect)) brought.push_back(request);
+    UpdateQuarantined(request);
+    if (!before && Quarantined(suspect)) newly_quarantined.push_back(request);
   }
-  return brought;
+  return newly_quarantined;
 }
 
 void CrashRecord::OnWorkerEndLapsed(const std::string& worker_id) {
@@ -161,21 +165,21 @@
     suspect->second.runs.erase(worker_id);
     suspect->second.excused.erase(worker_id);
     suspect->second.released.erase(worker_id);
-    NoteChanged(request);
-    ForgetIfClear(request);
+    UpdateQuarantined(request);
+    RemoveIfClear(request);
   }
   ends_.erase(found);
 }
 
-void CrashRecord::ForgetIfClear(const RequestFingerprint& request) {
+void CrashRecord::RemoveIfClear(const RequestFingerprint& request) {
   const Suspect& suspect = suspects_.at(request);
   if (!suspect.worker_ids.empty() || suspect.item.has_value() || suspect.was_quarantined) return;
-  Forget(request);
+  Remove(request);
 }
 
 void CrashRecord::OnQuarantine(Instant now, const RequestFingerprint& request,
                                const QuarantineItem& item, store::Revision revision) {
-  Suspect& suspect = Remember(request);
+  Suspect& suspect = FindOrAdd(request);
   if (revision <= suspect.revision) return;
   suspect.item = item;
   suspect.release_stored = item.released;
@@ -186,7 +190,7 @@
     suspect.excused.insert(item.worker_ids.begin(), item.worker_ids.end());
     suspect.released.insert(item.worker_ids.begin(), item.worker_ids.end());
   }
-  NoteChanged(request);
+  UpdateQuarantined(request);
 }
 
 void CrashRecord::OnQuarantineLapsed(const RequestFingerprint& request) {
@@ -195,8 +199,8 @@
   found->second.was_quarantined = !found->second.item->released;
   found->second.item.reset();
   found->second.release_stored = false;
-  NoteChanged(request);
-  ForgetIfClear(request);
+  UpdateQuarantined(request);
+  RemoveIfClear(request);
 }
 
 bool CrashRecord::OnGoodRun(const RequestFingerprint& request) {
@@ -209,7 +213,7 @@
   suspect.excused = suspect.worker_ids;
   suspect.was_quarantined = false;
   if (suspect.item.has_value()) suspect.item->released = true;
-  NoteChanged(request);
+  UpdateQuarantined(request);
   return held_against;
 }
 
@@ -244,7 +248,7 @@
   return std::max(Duration(0), suspect->item_since + kTrialSpacing - now);
 }
 
-// A new quarantine begins with no trials, one that goes on keeps its count.
+// A new quarantine starts with no trials; an existing one keeps its count.
 CrashRecord::Change CrashRecord::ChangeOf(const RequestFingerprint& request) const {
   Change change;
   const Suspect* suspect = Find(request);
--- a/source/sidecar/request_quarantine.cc
+++ b/source/sidecar/request_quarantine.cc
@@ -11,44 +11,48 @@
 namespace runshelf::sidecar {
 namespace {
 
-// The longest that the store grants. What nobody sends any more for this long is let go.
+// The longest lease that the store grants. The quarantine of a request that no client sends for
+// this long expires.
 constexpr Duration kItemLifetime = std::chrono::minutes(10);
-// One lease serves the ends of some time: each end then lasts half of the lifetime at least.
+// One lease is shared by the terminations of this period, so that each record lasts for at least
+// half of the lifetime.
 constexpr Duration kLeaseReuse = kItemLifetime / 2;
-// While a request in quarantine is still sent, its item is kept; by many nodes, at different times.
+// The lease of a quarantine item is renewed while clients still send the request. Random times
+// spread the renewals of many nodes.
 constexpr Duration kRenewMin = std::chrono::minutes(3);
 constexpr Duration kRenewMax = std::chrono::minutes(6);
 constexpr Duration kWriteRetry = std::chrono::milliseconds(250);
-// A write takes some 10 to 40 ms, an unanswered one up to 1.8 s: for that long only this node would
-// know of the end.
-constexpr Duration kToldAfter = std::chrono::milliseconds(250);
-// A change of the state has come back to its writer by then, as a rule. Where it has not, the
-// others may not have heard of it either.
-constexpr Duration kSeenAfter = std::chrono::seconds(1);
-// Nodes that were told of an end write it at different times: the first one's item spares the
-// others theirs.
-constexpr Duration kToldWriteMin = std::chrono::milliseconds(250);
-constexpr Duration kToldWriteMax = std::chrono::milliseconds(1500);
-// How often attempts that broke off are looked at.
+// A write takes 10 to 40 ms, and one that is not answered up to 1.8 s. Until then only this node
+// would know of the termination.
+constexpr Duration kBroadcastDelay = std::chrono::milliseconds(250);
+// The watch normally delivers a change back to its writer within this time. If it has not, other
+// nodes may not have received it either.
+constexpr Duration kWatchDelay = std::chrono::seconds(1);
+// Nodes that received the same termination directly write it at different times: once the first
+// item arrives, the others need not write theirs.
+constexpr Duration kReceivedWriteDelayMin = std::chrono::milliseconds(250);
+constexpr Duration kReceivedWriteDelayMax = std::chrono::milliseconds(1500);
+// Interval between checks of interrupted attempts.
 constexpr Duration kWitnessInterval = std::chrono::milliseconds(250);
-// Callers of a request that is at work in the worker it would go to: about as long as it runs.
-constexpr Duration kAtWorkRetryAfter = std::chrono::milliseconds(150);
-// Longer than the store is away on bad days; the end is known at this node all the same.
-constexpr Duration kWriteGivenUp = std::chrono::seconds(60);
-// A trial is counted with two calls to the store, some 10 to 40 ms each. Callers do not wait for a
-// store that has fallen silent, which takes up to 3.6 s to show.
-constexpr Duration kTrialDecision = std::chrono::milliseconds(300);
-// Callers that were refused because a trial had just begun come back once it is over.
-constexpr Duration kTrialSpread = std::chrono::milliseconds(150);
-// Callers come back no earlier while trials cannot be counted: the store is away for seconds.
-constexpr Duration kStoreAwayRetryAfter = std::chrono::seconds(1);
-// Callers of a request that no trial will be made of are told the longest.
+// Retry delay while the request is already running in the target worker: its typical run time.
+constexpr Duration kInFlightRetryAfter = std::chrono::milliseconds(150);
+// Longer than typical store outages. This node still applies the termination after the time-out.
+constexpr Duration kWriteTimeout = std::chrono::seconds(60);
+// Counting a trial takes two calls to the store of 10 to 40 ms each. A store that stopped answering
+// is detected only after up to 3.6 s, which is too long for a client to wait.
+constexpr Duration kTrialDecisionTimeout = std::chrono::milliseconds(300);
+// Retry delay of clients that were refused because a trial had just started: it is over by then.
+constexpr Duration kTrialRetryAfter = std::chrono::milliseconds(150);
+// Minimum retry delay while trials cannot be counted: store outages last for seconds.
+constexpr Duration kStoreUnavailableRetryAfter = std::chrono::seconds(1);
+// Retry delay of requests for which no further trial will start.
 constexpr Duration kLongRetryAfter = std::chrono::seconds(30);
-constexpr int kReleaseTries = 4;
-// The store takes keys of up to 200 bytes.
+constexpr int kMaxReleaseAttempts = 4;
+// The store accepts keys of up to 200 bytes.
 constexpr size_t kMaxKeyBytes = 190;
 
-// One item for each witness of an end: none writes over what another one saw.
+// Each witness of a termination writes an item of its own, so that no node overwrites the requests
+// that another one recorded.
 std::string EndKey(const std::string& worker_id, const std::string& witness) {
   return KeyOf(kWorkerEndPrefix, worker_id + "/" + witness).substr(0, kMaxKeyBytes);
 }
@@ -82,17 +86,17 @@
   if (item.key.starts_with(kWorkerEndPrefix)) {
     const auto end = WorkerEnd::Parse(item.value);
     if (!end.has_value() || EndKey(end->worker_id, end->node) != item.key) return false;
-    TakeEndItem(item, *end);
+    ApplyEndItem(item, *end);
     return true;
   }
   const auto request = RequestFingerprint::Parse(NameAfter(item.key, kQuarantinePrefix));
   const auto quarantine = QuarantineItem::Parse(item.value);
   if (!request.has_value() || !quarantine.has_value()) return false;
-  TakeQuarantineItem(*request, *quarantine, item);
+  ApplyQuarantineItem(*request, *quarantine, item);
   return true;
 }
 
-void RequestQuarantine::TakeEnd(const WorkerEnd& end) {
+void RequestQuarantine::ApplyEnd(const WorkerEnd& end) {
   for (const RequestFingerprint& request : record_.OnWorkerEnd(end.worker_id, end.requests)) {
     log_.Write(LogLevel::kWarning, "request_quarantined",
                {{"fingerprint", request.ToString()},
@@ -102,8 +106,8 @@
   }
 }
 
-void RequestQuarantine::TakeQuarantineItem(const RequestFingerprint& request,
-                                           const QuarantineItem& item, const store::Item& stored) {
+void RequestQuarantine::ApplyQuarantineItem(const RequestFingerprint& request,
+                                            const QuarantineItem& item, const store::Item& stored) {
   record_.OnQuarantine(loop_.Now(), request, item, stored.revision);
   log_.Write(LogLevel::kWarning, item.released ? "request_released" : "request_in_quarantine",
              {{"fingerprint", request.ToString()},
@@ -112,34 +116,34 @@
               {"workers", absl::StrJoin(item.worker_ids, ",")},
               {"revision", store::RevisionText(stored.revision)}});
   if (item.released) {
-    seen_.erase(request);
+    lease_renewals_.erase(request);
     return;
   }
-  seen_[request] = {stored.lease, loop_.Now() + random_.Between(kRenewMin, kRenewMax)};
+  lease_renewals_[request] = {stored.lease, loop_.Now() + random_.Between(kRenewMin, kRenewMax)};
   if (record_.KnownGood(request)) Release(request);
 }
 
-bool RequestQuarantine::IsWhole(const WorkerEnd& end) const {
+bool RequestQuarantine::IsComplete(const WorkerEnd& end) const {
   return record_.RequestsOf(end.worker_id).size() == end.requests.size();
 }
 
-void RequestQuarantine::TakeEndItem(const store::Item& item, const WorkerEnd& end) {
-  TakeEnd(end);
+void RequestQuarantine::ApplyEndItem(const store::Item& item, const WorkerEnd& end) {
+  ApplyEnd(end);
   end_items_[item.key] = end.worker_id;
   const auto found = pending_ends_.find(end.worker_id);
   if (found == pending_ends_.end()) return;
   PendingEnd& pending = found->second;
   const bool own = item.key == EndKey(end.worker_id, pending.witness);
   if (pending.writing) {
-    // The answer to the write tells whether this is what it wrote.
+    // The response to the write tells whether this item is the one written.
     if (own) pending.seen = item.revision;
     return;
   }
-  // This node has written it, or another one.
-  if (IsWhole(end)) {
+  // The item was written by this node or by another one.
+  if (IsComplete(end)) {
     pending_ends_.erase(found);
   } else if (own && item.revision >= pending.written) {
-    // More of its requests have been told of since.
+    // Further requests of this termination became known after the write.
     pending.written = 0;
   }
 }
@@ -157,23 +161,23 @@
   }
   const auto request = RequestFingerprint::Parse(NameAfter(key, kQuarantinePrefix));
   if (!request.has_value()) return;
-  seen_.erase(*request);
+  lease_renewals_.erase(*request);
   record_.OnQuarantineLapsed(*request);
   log_.Write(LogLevel::kInfo, "quarantine_lapsed", {{"fingerprint", request->ToString()}});
 }
 
 void RequestQuarantine::OnStoreRestored() {
   lease_ = 0;
-  for (auto& [request, seen] : seen_) seen.lease = 0;
+  for (auto& [request, seen] : lease_renewals_) seen.lease = 0;
   for (auto& [worker_id, pending] : pending_ends_) pending.written = 0;
   WritePending();
 }
 
 void RequestQuarantine::OnWorkerEnded(const std::string& worker_id,
-                                      const std::vector<InterruptedRequest>& at_work) {
+                                      const std::vector<InterruptedRequest>& in_flight) {
   WorkerEnd end{worker_id, node_, {}};
-  for (const InterruptedRequest& request : at_work) end.requests.push_back(request.fingerprint);
-  TakeEnd(end);
+  for (const InterruptedRequest& request : in_flight) end.requests.push_back(request.fingerprint);
+  ApplyEnd(end);
   AddPendingEnd(worker_id, {loop_.Now(), node_});
 }
 
@@ -182,8 +186,8 @@
   WritePending();
 }
 
-void RequestQuarantine::OnAttemptBroken(const std::string& node, const std::string& worker_id,
-                                        const RequestFingerprint& request) {
+void RequestQuarantine::OnAttemptInterrupted(const std::string& node, const std::string& worker_id,
+                                             const RequestFingerprint& request) {
   unresolved_.Add(loop_.Now(), {node, worker_id, request});
   if (!witness_timer_.active()) witness_timer_.Start(kWitnessInterval);
 }
@@ -192,8 +196,8 @@
   unresolved_.OnWorkerAt(loop_.Now(), node, worker_id);
 }
 
-// The node beside the worker tells of its end itself, as a rule within some 50 ms. This is for an
-// end after which that node was gone.
+// The local node of a worker normally records a termination within 50 ms. This handles terminations
+// after which that node was gone too.
 void RequestQuarantine::CountWitnessedEnds() {
   for (const UnresolvedAttempts::Attempt& attempt : unresolved_.TakeEnded(loop_.Now())) {
     const auto known = record_.RequestsOf(attempt.worker_id);
@@ -202,7 +206,7 @@
                {{"worker", attempt.worker_id},
                 {"beside", attempt.node},
                 {"fingerprint", attempt.request.ToString()}});
-    TakeEnd({attempt.worker_id, node_, {attempt.request}});
+    ApplyEnd({attempt.worker_id, node_, {attempt.request}});
     AddPendingEnd(attempt.worker_id, {loop_.Now(), node_});
   }
   if (!unresolved_.empty()) witness_timer_.Start(kWitnessInterval);
@@ -218,16 +222,16 @@
   for (auto entry = pending_ends_.begin(); entry != pending_ends_.end();) {
     PendingEnd& pending = entry->second;
     const bool written = pending.written != 0;
-    if (now - pending.since > kWriteGivenUp) {
+    if (now - pending.since > kWriteTimeout) {
       if (!written) {
         log_.Write(LogLevel::kError, "worker_end_not_told", {{"worker", entry->first}});
       }
       entry = pending_ends_.erase(entry);
       continue;
     }
-    const Duration told_after = written ? kSeenAfter : kToldAfter;
+    const Duration broadcast_after = written ? kWatchDelay : kBroadcastDelay;
     const bool waits = pending.writing || written;
-    if (waits && now - pending.since >= told_after) TellOthers(entry->first, &pending);
+    if (waits && now - pending.since >= broadcast_after) BroadcastEnd(entry->first, &pending);
     if (!waits && now >= pending.not_before) {
       pending.writing = true;
       WriteEnd(entry->first, pending.witness);
@@ -259,9 +263,9 @@
   if (found == pending_ends_.end()) return;
   PendingEnd& pending = found->second;
   pending.writing = false;
-  // It is written again when the store has gone back meanwhile, or more of its requests have been
-  // told of.
-  if (store::EraOf(revision) < store_.era() || !IsWhole(end)) return;
+  // Written again if the store was restored in the meantime, or if further requests of this
+  // termination became known.
+  if (store::EraOf(revision) < store_.era() || !IsComplete(end)) return;
   pending.written = revision;
   if (pending.seen >= revision) pending_ends_.erase(found);
 }
@@ -270,25 +274,27 @@
   const auto pending = pending_ends_.find(worker_id);
   if (pending == pending_ends_.end()) return;
   pending->second.writing = false;
-  TellOthers(worker_id, &pending->second);
+  BroadcastEnd(worker_id, &pending->second);
   if (pending->second.witness == node_) return;
-  pending->second.not_before = loop_.Now() + random_.Between(kToldWriteMin, kToldWriteMax);
+  pending->second.not_before =
+      loop_.Now() + random_.Between(kReceivedWriteDelayMin, kReceivedWriteDelayMax);
 }
 
-void RequestQuarantine::TellOthers(const std::string& worker_id, PendingEnd* pending) {
-  if (std::exchange(pending->told, true) || !tell_others_) return;
+void RequestQuarantine::BroadcastEnd(const std::string& worker_id, PendingEnd* pending) {
+  if (std::exchange(pending->broadcast, true) || !broadcast_end_) return;
   const WorkerEnd end{worker_id, pending->witness, record_.RequestsOf(worker_id)};
-  tell_others_(end.Serialize());
+  broadcast_end_(end.Serialize());
 }
 
-bool RequestQuarantine::OnToldEnd(const std::string& message, bool write) {
+bool RequestQuarantine::OnBroadcastEnd(const std::string& message, bool write) {
   const auto end = WorkerEnd::Parse(message);
   if (!end.has_value()) return false;
-  TakeEnd(*end);
+  ApplyEnd(*end);
   if (!write) return true;
   const Instant now = loop_.Now();
-  PendingEnd pending{now, end->node, now + random_.Between(kToldWriteMin, kToldWriteMax)};
-  pending.told = true;
+  PendingEnd pending{now, end->node,
+                     now + random_.Between(kReceivedWriteDelayMin, kReceivedWriteDelayMax)};
+  pending.broadcast = true;
   AddPendingEnd(end->worker_id, pending);
   return true;
 }
@@ -312,8 +318,9 @@
 
 Duration RequestQuarantine::OnRefused(const RequestFingerprint& request) {
   ++refusals_;
-  const auto seen = seen_.find(request);
-  if (seen != seen_.end() && seen->second.lease != 0 && loop_.Now() >= seen->second.renew_at) {
+  const auto seen = lease_renewals_.find(request);
+  if (seen != lease_renewals_.end() && seen->second.lease != 0 &&
+      loop_.Now() >= seen->second.renew_at) {
     seen->second.renew_at = loop_.Now() + random_.Between(kRenewMin, kRenewMax);
     store_.KeepLease(seen->second.lease, [this, request](const absl::Status& status) {
       if (status.ok()) return;
@@ -321,9 +328,9 @@
                  {{"fingerprint", request.ToString()}, {"reason", std::string(status.message())}});
     });
   }
-  if (!record_.IsQuarantined(request)) return kAtWorkRetryAfter;
+  if (!record_.IsQuarantined(request)) return kInFlightRetryAfter;
   const Duration until = record_.UntilTrial(loop_.Now(), request).value_or(kLongRetryAfter);
-  return std::max(until, CanCountTrials() ? kTrialSpread : kStoreAwayRetryAfter);
+  return std::max(until, CanCountTrials() ? kTrialRetryAfter : kStoreUnavailableRetryAfter);
 }
 
 void RequestQuarantine::BeginTrial(const RequestFingerprint& request,
@@ -334,14 +341,14 @@
   const auto decided = std::make_shared<bool>(false);
   const auto timer = std::make_shared<event::Timer>(loop_, [this, decided, callback] {
     *decided = true;
-    no_trials_until_ = loop_.Now() + kStoreAwayRetryAfter;
+    no_trials_until_ = loop_.Now() + kStoreUnavailableRetryAfter;
     callback(false);
   });
-  timer->Start(kTrialDecision);
+  timer->Start(kTrialDecisionTimeout);
   Commit(request, change, [this, request, decided, timer, callback](bool committed) {
     timer->Stop();
     if (std::exchange(*decided, true)) {
-      // It was counted too late, and its caller has been refused.
+      // The trial was counted after the time-out, when its client had already been refused.
       if (committed) ReturnTrial(request);
       return;
     }
@@ -359,18 +366,18 @@
 }
 
 void RequestQuarantine::Release(const RequestFingerprint& request) {
-  pending_releases_.try_emplace(request, PendingRelease{kReleaseTries, false});
+  pending_releases_.try_emplace(request, PendingRelease{kMaxReleaseAttempts, false});
   WritePending();
 }
 
-// Another node may begin a trial at the same time: its change comes first, and the release again.
+// A trial that another node starts concurrently makes the commit fail; the release is then retried.
 void RequestQuarantine::WriteReleases() {
   for (auto entry = pending_releases_.begin(); entry != pending_releases_.end();) {
     const RequestFingerprint request = entry->first;
     PendingRelease& release = entry->second;
     ++entry;
     if (release.writing) continue;
-    if (release.tries_left-- == 0 || !record_.KnownGood(request) ||
+    if (release.attempts_left-- == 0 || !record_.KnownGood(request) ||
         record_.ReleaseIsKnown(request)) {
       pending_releases_.erase(request);
       continue;
@@ -391,7 +398,7 @@
 
 void RequestQuarantine::Commit(const RequestFingerprint& request, const CrashRecord::Change& change,
                                std::function<void(bool)> callback) {
-  // A lease of its own: it is kept while the request is still sent.
+  // Each quarantine item has its own lease, which is renewed while clients still send the request.
   store_.GrantLease(kItemLifetime, [this, request, change, callback = std::move(callback)](
                                        absl::StatusOr<store::Lease> lease) {
     if (!lease.ok() || lease->era != store_.era()) return callback(false);
--- a/source/sidecar/stop_sequence.cc
+++ b/source/sidecar/stop_sequence.cc
@@ -5,8 +5,8 @@
 namespace runshelf::sidecar {
 namespace {
 
-constexpr Duration kPoll = std::chrono::milliseconds(50);
-// How often a stop says what it waits for.
+constexpr Duration kPollInterval = std::chrono::milliseconds(50);
+// Interval between log lines about what the stop is waiting for.
 constexpr Duration kLogInterval = std::chrono::seconds(1);
 
 }  // namespace
@@ -40,13 +40,13 @@
   const Instant now = context_.loop.Now();
   observer_.on_progress();
   const bool idle = UnderWay().total() == 0 && context_.holder.HoldsNothing();
-  const bool over = idle && !context_.schedule.TakesNewRequests(now);
-  if (over || context_.schedule.OutOfTime(now)) {
+  const bool done = idle && !context_.schedule.TakesNewRequests(now);
+  if (done || context_.schedule.OutOfTime(now)) {
     End();
     return;
   }
   LogWaiting(now);
-  poll_timer_.Start(kPoll);
+  poll_timer_.Start(kPollInterval);
 }
 
 void StopSequence::LogWaiting(Instant now) {
@@ -66,7 +66,7 @@
 void StopSequence::End() {
   const Instant now = context_.loop.Now();
   context_.schedule.Close();
-  // What no worker has seen is refused, so that its sender may try elsewhere.
+  // Requests that no worker has received are refused, so that the sender can retry elsewhere.
   context_.gate.Close();
   context_.ingress.RefuseWaiting();
   observer_.on_ending();
@@ -82,8 +82,8 @@
                       {"refused", context_.ingress.refused_in_stop()},
                       {"forwarded_refused", context_.inbound_handler.refused_in_stop()},
                       {"holds_keys", !context_.holder.HoldsNothing()}});
-  // One turn of the loop sends the last answers and calls.
-  end_timer_.Start(kPoll);
+  // Leaves the event loop time to send the last responses and calls.
+  end_timer_.Start(kPollInterval);
 }
 
 }  // namespace runshelf::sidecar
--- a/tests/event/event_loop_test.cc
+++ b/tests/event/event_loop_test.cc
@@ -18,7 +18,7 @@
 
 TEST_GROUP(EventLoop) { EventLoop loop; };
 
-TEST(EventLoop, ATimerFiresOnceOrRepeatedly) {
+TEST(EventLoop, TimerFiresOnceOrRepeatedly) {
   int once = 0;
   int often = 0;
   Timer single(loop, [&] { ++once; });
@@ -31,7 +31,7 @@
   CHECK(repeated.active());
 }
 
-TEST(EventLoop, ATimerMayBeDestroyedInItsOwnCallback) {
+TEST(EventLoop, TimerMayBeDestroyedInItsCallback) {
   std::unique_ptr<Timer> timer;
   bool fired = false;
   timer = std::make_unique<Timer>(loop, [&] {
@@ -42,8 +42,8 @@
   CHECK(RunUntil(loop, [&] { return fired; }));
 }
 
-// On a machine that was suspended since it started, the monotonic clock is behind.
-TEST(EventLoop, TheTimeOfASuspensionCounts) {
+// On a machine that has been suspended since boot, CLOCK_MONOTONIC lags behind CLOCK_BOOTTIME.
+TEST(EventLoop, ClockIncludesSuspendedTime) {
   timespec time{};
   clock_gettime(CLOCK_BOOTTIME, &time);
   const Instant since_start(
@@ -53,9 +53,9 @@
   CHECK(loop.Now() < since_start + std::chrono::seconds(1));
 }
 
-// Guards against calls that count as unanswered as soon as they are made, since the turn of the
-// loop that made them had lasted for longer than their time-out.
-TEST(EventLoop, ATimerThatIsStartedInALongTurnRunsItsWholeTime) {
+// Guards against calls that time out immediately because the loop iteration that made them had
+// already lasted longer than their time-out.
+TEST(EventLoop, TimerStartedInLongIterationRunsFullDelay) {
   Instant started{};
   std::optional<Duration> ran;
   Timer inner(loop, [&] { ran = loop.Now() - started; });
@@ -71,10 +71,10 @@
   CHECK(*ran >= std::chrono::milliseconds(99));
 }
 
-// Guards against a loop that stands still over one event, and of which nothing shows it.
-TEST(EventLoop, ALongTurnIsMeasuredAndWaitingIsNot) {
+// Guards against an event that blocks the loop for a long time without being reported.
+TEST(EventLoop, MonitorMeasuresBusyTimeOnly) {
   Duration longest{0};
-  LoopMonitor monitor(loop, [&](Duration turn) { longest = std::max(longest, turn); });
+  LoopMonitor monitor(loop, [&](Duration busy_time) { longest = std::max(longest, busy_time); });
   RunFor(loop, std::chrono::milliseconds(60));
   const Duration longest_without_work = longest;
   Timer busy(loop, [&] {
@@ -88,14 +88,14 @@
   CHECK(longest_without_work < std::chrono::milliseconds(50));
 }
 
-TEST(EventLoop, ASignalIsDelivered) {
+TEST(EventLoop, SignalIsDelivered) {
   int count = 0;
   SignalWatcher watcher(loop, SIGUSR1, [&] { ++count; });
   std::raise(SIGUSR1);
   CHECK(RunUntil(loop, [&] { return count == 1; }));
 }
 
-TEST(EventLoop, AnEndpointIsAnAddressAndAPort) {
+TEST(EventLoop, EndpointParsesAddressAndPort) {
   Endpoint endpoint;
   CHECK(Endpoint::Parse("10.1.0.8:8300", &endpoint));
   STRCMP_EQUAL("10.1.0.8", endpoint.ip.c_str());
@@ -107,11 +107,12 @@
   }
 }
 
-TEST(EventLoop, DatagramsArrive) {
+TEST(EventLoop, DatagramsAreDelivered) {
   std::string received;
   UdpSocket receiver(loop, [&](std::string_view data) { received = data; });
   UdpSocket sender(loop, nullptr);
-  // Any free port would do; a fixed one below the ephemeral range may be taken, so try some.
+  // Any free port will do. A fixed port below the ephemeral range may be in use, so several are
+  // tried.
   Endpoint endpoint{"127.0.0.1", 21870};
   while (receiver.Bind(endpoint) != 0 && endpoint.port < 21900) ++endpoint.port;
   CHECK_EQUAL(0, sender.Bind({"127.0.0.1", 0}));
