--- a/source/sidecar/shard_holder.cc
+++ b/source/sidecar/shard_holder.cc
@@ -64,8 +64,8 @@
   if (worker_id == worker_id_ && absent == worker_absent_) return;
   worker_absent_ = absent;
   heard_at_ = loop_.Now();
-  if (gone && !worker_id_.empty()) gone_workers_.insert(worker_id_);
-  gone_workers_.erase(worker_id);
+  if (gone && !worker_id_.empty()) ended_workers_.insert(worker_id_);
+  ended_workers_.erase(worker_id);
   worker_id_ = worker_id;
   std::erase_if(disowned_,
                 [this](const DisownedGrant& grant) { return !MayBePresent(grant.worker_id); });
@@ -109,8 +109,8 @@
 
 // One whose incarnation is known is looked at before each grant that is repeated.
 void ShardHolder::SuspectEnd(const char* reason) {
-  if (!DividedByKey() || ByHeartbeat() || context_.WorkerTellsIncarnation()) return;
-  context_.DoubtWorker(reason);
+  if (!DividedByKey() || ByHeartbeat() || context_.WorkerHasIncarnationId()) return;
+  context_.InvalidateWorkerProof(reason);
 }
 
 void ShardHolder::NoticePause() {
@@ -137,7 +137,7 @@
   // Whoever is there has not told its incarnation: it may be the owner.
   if (worker_id_ == wire_.StatedIdentity(shard.owner.worker)) return false;
   // There is one worker on a machine: another one's presence tells that the former ended.
-  if (!worker_id_.empty() || gone_workers_.contains(shard.owner.worker)) return true;
+  if (!worker_id_.empty() || ended_workers_.contains(shard.owner.worker)) return true;
   // A process that has just learnt of its shards may find the worker at any moment.
   if (!worker_absent_) return false;
   // It fell silent: its grants, those of an earlier life of this process too, must have run out.
@@ -224,7 +224,7 @@
 
 // No other worker is here, as far as is known; of this one the incarnation may not be known yet.
 bool ShardHolder::MayBePresent(const std::string& worker_id) const {
-  if (worker_id_.empty()) return !gone_workers_.contains(worker_id);
+  if (worker_id_.empty()) return !ended_workers_.contains(worker_id);
   return worker_id == worker_id_ || worker_id == wire_.StatedIdentity(worker_id_) ||
          worker_id_ == wire_.StatedIdentity(worker_id);
 }
@@ -259,7 +259,7 @@
 void ShardHolder::RenewGrants() {
   const Instant now = loop_.Now();
   if (worker_id_.empty() || context_.AuthorityUntil() <= now + kMinHold) return;
-  const WorkerProof proof = context_.ProveWorker();
+  const WorkerProof proof = context_.VerifyWorker();
   if (proof == WorkerProof::kNone) return;
   std::optional<bool> may_repeat;  // Found out when it is asked for.
   std::vector<sharding::Shard> granted_anew;
@@ -296,7 +296,7 @@
   const Instant now = loop_.Now();
   if (repeats_held_since_ == Instant{}) {
     repeats_held_since_ = now;
-    context_.ReachWorker();
+    context_.EnsureWorkerConnection();
   }
   if (now - repeats_held_since_ >= config_.incarnation_patience) AskForNewTokens();
   return false;
@@ -372,7 +372,7 @@
   // A heartbeat proves that the worker was there when its former one was answered. Answered after
   // there is a connection, this one lets the next prove whose connection that is.
   if (!ByHeartbeat()) {
-    return context_.WorkerTellsIncarnation() && context_.ProveWorker() == WorkerProof::kNone;
+    return context_.WorkerHasIncarnationId() && context_.VerifyWorker() == WorkerProof::kNone;
   }
   if (leaving_ || shards_.map().empty()) return false;
   if (context_.AuthorityUntil() <= loop_.Now() + kMinHold) return true;
@@ -449,7 +449,7 @@
   });
 }
 
-bool ShardHolder::OwnersTellIncarnation() const {
+bool ShardHolder::OwnersHaveIncarnationIds() const {
   const auto& shards = shards_.map().shards();
   return std::any_of(shards.begin(), shards.end(), [this](const sharding::Shard& shard) {
     return wire_.StatedIdentity(shard.owner.worker) != shard.owner.worker;
--- a/source/sidecar/shard_holder.h
+++ b/source/sidecar/shard_holder.h
@@ -73,17 +73,17 @@
   // What is known of the process at the worker's address. An order meant for a worker must not
   // reach the next one there, which would hold keys under the former's token. Asks who is there
   // when that is not known.
-  virtual WorkerProof ProveWorker() = 0;
+  virtual WorkerProof VerifyWorker() = 0;
   // The incarnation that was proven runs at this moment.
   virtual bool WorkerRuns() const = 0;
   // Incarnations of the worker may state one identity: only a connection that is open, or the
   // worker itself, tells which one is there.
-  virtual bool WorkerTellsIncarnation() const = 0;
+  virtual bool WorkerHasIncarnationId() const = 0;
   // Makes a connection to whoever is at the worker's address, if none is idle.
-  virtual void ReachWorker() = 0;
+  virtual void EnsureWorkerConnection() = 0;
   // An order may have met another process there, or the worker may have ended. `reason`: for the
   // log.
-  virtual void DoubtWorker(const char* reason) = 0;
+  virtual void InvalidateWorkerProof(const char* reason) = 0;
   // Workers that take the shards of this node when it gives all of them up, one for each; empty
   // when there is none.
   virtual std::vector<sharding::WorkerId> ChooseSuccessors(size_t shard_count) = 0;
@@ -132,7 +132,7 @@
   bool HoldsNothing() const;
   // Workers of the service tell their incarnations, as the owners in the map show: an identity
   // without one is not whole.
-  bool OwnersTellIncarnation() const;
+  bool OwnersHaveIncarnationIds() const;
   // A grant of a shard that the worker has not released may still be in force there.
   bool WorkerMayHoldKeys() const;
   uint64_t grants_sent() const { return grants_sent_; }
@@ -224,9 +224,9 @@
   std::vector<sharding::Shard> granted_anew_;  // Not logged yet.
   Instant grants_logged_at_{};
   std::string worker_id_;
-  bool worker_absent_ = false;          // It was looked for, and none is there.
-  std::set<std::string> gone_workers_;  // Identities that are certainly not running any more.
-  std::optional<bool> sharded_;         // Not known yet, while empty.
+  bool worker_absent_ = false;           // It was looked for, and none is there.
+  std::set<std::string> ended_workers_;  // Identities that are certainly not running any more.
+  std::optional<bool> sharded_;          // Not known yet, while empty.
   bool leaving_ = false;
   bool reassigning_ = false;  // The latest change of the map gave shards of a former worker on.
   bool reconciling_ = false;
--- a/source/sidecar/sidecar.cc
+++ b/source/sidecar/sidecar.cc
@@ -525,8 +525,8 @@
   record.worker_id = monitor_.worker_id();
   record.slots = monitor_.slots();
   record.worker_state = monitor_.state();
-  record.takes_keys =
-      holder_.WorkerReports() && (monitor_.IdentityIsWhole() || !holder_.OwnersTellIncarnation());
+  record.takes_keys = holder_.WorkerReports() &&
+                      (monitor_.IdentityIsComplete() || !holder_.OwnersHaveIncarnationIds());
   record.processor_percent = static_cast<uint32_t>(settings_.processor_cores * kPercent);
   record.link_megabits = LinkMegabits(settings_);
   record.stopping = stop_schedule_.Announced(loop_.Now());
--- a/source/sidecar/sidecar.h
+++ b/source/sidecar/sidecar.h
@@ -67,14 +67,14 @@
   // ShardHolderContext
   Instant AuthorityUntil() const override;
   store::Condition StillThisLife() const override { return lease_.ItemUnchanged(); }
-  WorkerProof ProveWorker() override {
-    monitor_.AskIdentity();
+  WorkerProof VerifyWorker() override {
+    monitor_.ProbeIdentity();
     return monitor_.proof();
   }
   bool WorkerRuns() const override { return monitor_.RunsNow(); }
-  bool WorkerTellsIncarnation() const override { return monitor_.TellsIncarnation(); }
-  void ReachWorker() override { monitor_.OnWorkerUnreachable(); }
-  void DoubtWorker(const char* reason) override { monitor_.Doubt(reason); }
+  bool WorkerHasIncarnationId() const override { return monitor_.HasIncarnationId(); }
+  void EnsureWorkerConnection() override { monitor_.OnWorkerUnreachable(); }
+  void InvalidateWorkerProof(const char* reason) override { monitor_.InvalidateProof(reason); }
   std::vector<sharding::WorkerId> ChooseSuccessors(size_t shard_count) override;
   sharding::WorkerId WorkerOf(const std::string& node) override;
   // StoreRelay
--- a/source/sidecar/worker_monitor.cc
+++ b/source/sidecar/worker_monitor.cc
@@ -17,11 +17,11 @@
 // Heartbeats that may be missed before a worker that does not answer counts as silent.
 constexpr double kSilentIntervals = 2.5;
 // Probes in a row that must fail: at once when nothing listens at the address, else for silence.
-constexpr uint32_t kRefusedProbes = 3;
-constexpr uint32_t kSilentProbes = 2;
+constexpr uint32_t kMinRefusedProbes = 3;
+constexpr uint32_t kMinSilentProbes = 2;
 // The longest that the answer to a heartbeat waits: a worker takes none after a second, and the
 // heartbeat itself was some time on its way.
-constexpr Duration kLongestDeferral = std::chrono::milliseconds(600);
+constexpr Duration kMaxDeferral = std::chrono::milliseconds(600);
 // A heartbeat may arrive this much later than it was sent, when a link or this process stood still,
 // and when its worker has ended already. A worker that answers no health check is known by it
 // alone.
@@ -120,16 +120,16 @@
 }
 
 void WorkerMonitor::Defer(const http::ExchangePtr& exchange, const WorkerHeartbeat& heartbeat,
-                          bool noted) {
+                          bool processed) {
   // A worker that sends another heartbeat waits for the former answer no more.
   if (deferred_.has_value()) AnswerDeferred();
-  deferred_ = DeferredHeartbeat{exchange, heartbeat, noted};
+  deferred_ = DeferredHeartbeat{exchange, heartbeat, processed};
   deferred_timer_.Start(kDeferralPoll);
 }
 
 void WorkerMonitor::AnswerDeferred() {
   const DeferredHeartbeat deferred = *std::exchange(deferred_, std::nullopt);
-  if (deferred.noted) {
+  if (deferred.processed) {
     AcknowledgeHeartbeat(deferred.exchange, deferred.heartbeat);
   } else {
     deferred.exchange->Respond(kServiceUnavailable, {}, "");
@@ -138,13 +138,13 @@
 
 void WorkerMonitor::ContinueDeferred() {
   if (!deferred_.has_value()) return;
-  const bool over = loop_.Now() - deferred_->exchange->received() >= kLongestDeferral;
-  const bool known = deferred_->noted ? !observer_.lessor->AwaitsKeys() : synchronized_;
-  if (!over && !known && (!deferred_->noted || IsNewest(deferred_->heartbeat))) {
+  const bool over = loop_.Now() - deferred_->exchange->received() >= kMaxDeferral;
+  const bool known = deferred_->processed ? !observer_.lessor->AwaitsKeys() : synchronized_;
+  if (!over && !known && (!deferred_->processed || IsNewest(deferred_->heartbeat))) {
     deferred_timer_.Start(kDeferralPoll);
     return;
   }
-  if (deferred_->noted || !synchronized_) {
+  if (deferred_->processed || !synchronized_) {
     AnswerDeferred();
     return;
   }
@@ -156,7 +156,7 @@
                                 const WorkerHeartbeat& heartbeat) {
   if (!synchronized_) {
     // Whether this worker is leaving is not known yet.
-    Defer(exchange, heartbeat, /*noted=*/false);
+    Defer(exchange, heartbeat, /*processed=*/false);
     return;
   }
   if (Resolve(heartbeat.worker_id) != heartbeat.worker_id) {
@@ -192,8 +192,8 @@
     RecordDrain(exchange, heartbeat.worker_id,
                 [this, exchange, heartbeat] { AcknowledgeHeartbeat(exchange, heartbeat); });
   } else if (IsNewest(heartbeat) && observer_.lessor != nullptr && observer_.lessor->AwaitsKeys() &&
-             loop_.Now() - exchange->received() < kLongestDeferral) {
-    Defer(exchange, heartbeat, /*noted=*/true);
+             loop_.Now() - exchange->received() < kMaxDeferral) {
+    Defer(exchange, heartbeat, /*processed=*/true);
   } else {
     AcknowledgeHeartbeat(exchange, heartbeat);
   }
@@ -214,7 +214,7 @@
 }
 
 std::string WorkerMonitor::Resolve(const std::string& worker_id) const {
-  const bool same = TellsIncarnation() && worker_id == wire_.StatedIdentity(worker_id_);
+  const bool same = HasIncarnationId() && worker_id == wire_.StatedIdentity(worker_id_);
   return same ? worker_id_ : worker_id;
 }
 
@@ -240,7 +240,7 @@
 }
 
 void WorkerMonitor::AdoptWorker(const std::string& worker_id, Instant alive_at, Source source) {
-  const bool replaced = !worker_id_.empty() && !Completes(worker_id);
+  const bool replaced = !worker_id_.empty() && !CompletesIdentity(worker_id);
   if (replaced && observer_.on_ended) observer_.on_ended(worker_id_);
   source_ = source;
   adopted_at_ = loop_.Now();
@@ -252,7 +252,7 @@
               {"told_by_worker", source == Source::kNotice},
               {"recorded_drain", recorded_drain_}});
   worker_id_ = worker_id;
-  seeking_ = false;
+  initial_search_ = false;
   sequence_ = -1;
   answered_at_ = Instant{};
   incarnation_proven_at_ = Instant{};
@@ -261,7 +261,7 @@
   NoteAnswer();
   probe_timer_.Stop();
   confirmed_at_ = alive_at;
-  doubted_at_ = alive_at == Instant{} ? loop_.Now() : Instant{};
+  proof_invalidated_at_ = alive_at == Instant{} ? loop_.Now() : Instant{};
   if (slots_ == 0) slots_ = 1;
   observer_.on_changed(replaced);
 }
@@ -275,39 +275,39 @@
 
 bool WorkerMonitor::RunsNow() const {
   // A worker whose incarnations state different identities is known by these.
-  if (!TellsIncarnation()) return true;
+  if (!HasIncarnationId()) return true;
   const Instant heard_from = loop_.Now() - kLiveConnectionAge;
   return pool_.HasLiveConnection(settings_.worker, incarnation_proven_at_, heard_from) ||
          order_pool_.HasLiveConnection(settings_.worker, incarnation_proven_at_, heard_from);
 }
 
-bool WorkerMonitor::IdentityIsWhole() const {
+bool WorkerMonitor::IdentityIsComplete() const {
   const auto patience =
       std::chrono::duration_cast<Duration>(settings_.heartbeat_interval * kSilentIntervals);
   return source_ == Source::kNotice || loop_.Now() - adopted_at_ > patience;
 }
 
-void WorkerMonitor::Doubt(const char* reason) {
+void WorkerMonitor::InvalidateProof(const char* reason) {
   if (worker_id_.empty()) return;
   if (proof() != WorkerProof::kNone) {
     log_.Write(LogLevel::kInfo, "worker_doubted",
                {{"worker", worker_id_},
                 {"reason", std::string(reason)},
                 {"proven_ms_ago", ToMilliseconds(loop_.Now() - incarnation_proven_at_)}});
-    doubted_at_ = loop_.Now();
+    proof_invalidated_at_ = loop_.Now();
   }
-  AskIdentity();
+  ProbeIdentity();
 }
 
-void WorkerMonitor::AskIdentity() {
+void WorkerMonitor::ProbeIdentity() {
   if (!worker_id_.empty() && !Confirmed()) OnWorkerUnreachable();
 }
 
 WorkerProof WorkerMonitor::proof() const {
   if (worker_id_.empty()) return WorkerProof::kNone;
-  if (incarnation_proven_at_ > doubted_at_) return WorkerProof::kIncarnation;
+  if (incarnation_proven_at_ > proof_invalidated_at_) return WorkerProof::kIncarnation;
   if (!Confirmed()) return WorkerProof::kNone;
-  return TellsIncarnation() ? WorkerProof::kIdentity : WorkerProof::kIncarnation;
+  return HasIncarnationId() ? WorkerProof::kIdentity : WorkerProof::kIncarnation;
 }
 
 void WorkerMonitor::Confirm(Instant alive_at) {
@@ -453,13 +453,13 @@
   refused_probes_ = refused ? refused_probes_ + 1 : 0;
   ++failed_probes_;
   if (refused && !worker_id_.empty() && observer_.on_ended) observer_.on_ended(worker_id_);
-  if (worker_id_.empty() && !seeking_) return;
+  if (worker_id_.empty() && !initial_search_) return;
   const Duration silence = loop_.Now() - heard_at_;
   const bool silent = silence > std::chrono::duration_cast<Duration>(settings_.heartbeat_interval *
                                                                      kSilentIntervals);
-  if (refused_probes_ >= kRefusedProbes) {
+  if (refused_probes_ >= kMinRefusedProbes) {
     MarkDead("nothing listens");
-  } else if (silent && failed_probes_ >= kSilentProbes) {
+  } else if (silent && failed_probes_ >= kMinSilentProbes) {
     MarkDead("silent");
   } else {
     probe_timer_.Start(kProbeInterval);
@@ -494,11 +494,11 @@
 }
 
 void WorkerMonitor::CheckSilence() {
-  if (worker_id_.empty() && !seeking_) return;
+  if (worker_id_.empty() && !initial_search_) return;
   const Duration limit =
       std::chrono::duration_cast<Duration>(settings_.heartbeat_interval * kSilentIntervals);
   if (loop_.Now() - heard_at_ <= limit) return;
-  if (seeking_ && health_path_.empty()) {
+  if (initial_search_ && health_path_.empty()) {
     MarkDead("silent");
   } else {
     OnWorkerUnreachable();
@@ -506,16 +506,16 @@
 }
 
 void WorkerMonitor::MarkDead(const char* reason) {
-  log_.Write(LogLevel::kWarning, seeking_ ? "worker_not_found" : "worker_lost",
+  log_.Write(LogLevel::kWarning, initial_search_ ? "worker_not_found" : "worker_lost",
              {{"worker", worker_id_},
               {"reason", std::string(reason)},
               {"failed_probes", failed_probes_},
               {"silence_ms", ToMilliseconds(loop_.Now() - heard_at_)}});
   // It may come back under the same identity when it was merely silent.
   worker_id_.clear();
-  seeking_ = false;
+  initial_search_ = false;
   draining_ = false;
-  observer_.on_changed(refused_probes_ >= kRefusedProbes);
+  observer_.on_changed(refused_probes_ >= kMinRefusedProbes);
 }
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/worker_monitor.h
+++ b/source/sidecar/worker_monitor.h
@@ -65,14 +65,14 @@
   // What is known since the last doubt of the process at the worker's address.
   WorkerProof proof() const;
   // Another process may be at the worker's address by now: it is asked who it is.
-  void Doubt(const char* reason);
+  void InvalidateProof(const char* reason);
   // Asks who is at the worker's address while that is not known.
-  void AskIdentity();
+  void ProbeIdentity();
   // The worker's identity is known well enough to give it keys. Somebody at its address who stated
   // it may be an incarnation that has not told its own yet.
-  bool IdentityIsWhole() const;
+  bool IdentityIsComplete() const;
   // Incarnations of the worker may state one identity, as far as is known.
-  bool TellsIncarnation() const { return wire_.StatedIdentity(worker_id_) != worker_id_; }
+  bool HasIncarnationId() const { return wire_.StatedIdentity(worker_id_) != worker_id_; }
   // The incarnation runs at this moment: a connection to it is open and alive.
   bool RunsNow() const;
 
@@ -93,13 +93,13 @@
   // The identity with which a worker that does not tell its incarnation is known here.
   std::string Resolve(const std::string& worker_id) const;
   // `worker_id` tells the incarnation of the present worker, which was not known.
-  bool Completes(const std::string& worker_id) const {
+  bool CompletesIdentity(const std::string& worker_id) const {
     return worker_id != worker_id_ && worker_id_ == wire_.StatedIdentity(worker_id);
   }
   bool RecordedDraining() const;
-  bool Confirmed() const { return !worker_id_.empty() && confirmed_at_ > doubted_at_; }
+  bool Confirmed() const { return !worker_id_.empty() && confirmed_at_ > proof_invalidated_at_; }
   // Keeps a heartbeat whose answer waits until more is known; at most one.
-  void Defer(const http::ExchangePtr& exchange, const WorkerHeartbeat& heartbeat, bool noted);
+  void Defer(const http::ExchangePtr& exchange, const WorkerHeartbeat& heartbeat, bool processed);
   void ContinueDeferred();
   // Answers the deferred heartbeat with what is known now.
   void AnswerDeferred();
@@ -141,7 +141,7 @@
   struct DeferredHeartbeat {
     http::ExchangePtr exchange;
     WorkerHeartbeat heartbeat;
-    bool noted = false;  // What it says was taken over; only the answer is missing.
+    bool processed = false;  // What it says was taken over; only the answer is missing.
   };
   std::optional<DeferredHeartbeat> deferred_;
   event::Timer deferred_timer_;
@@ -167,7 +167,7 @@
   Instant adopted_at_{};
   Instant confirmed_at_{};           // Somebody stated the worker's identity.
   Instant incarnation_proven_at_{};  // This incarnation was certainly the one at its address.
-  Instant doubted_at_{};
+  Instant proof_invalidated_at_{};
   Instant probe_sent_at_{};
   uint32_t failed_probes_ = 0;   // In a row.
   uint32_t refused_probes_ = 0;  // The latest of those: nothing listens there, nothing is open.
@@ -175,7 +175,8 @@
   store::Revision drain_revision_ = 0;
   uint64_t unstamped_successes_ = 0;
   bool synchronized_ = false;
-  bool seeking_ = true;  // Since the start of the process no worker was found, nor its absence.
+  bool initial_search_ =
+      true;  // Since the start of the process no worker was found, nor its absence.
 };
 
 }  // namespace runshelf::sidecar
