--- a/source/sharding/shard_planner.cc
+++ b/source/sharding/shard_planner.cc
@@ -192,7 +192,7 @@
     shard.first = static_cast<ShardKey>(index * kBucketCount / count * kKeysPerBucket);
     shard.last = static_cast<ShardKey>((index + 1) * kBucketCount / count * kKeysPerBucket - 1);
     ShardMap::Assign(&shard, workers[index % workers.size()]->id, token, "");
-    shard.carried_over = input.former_grants_may_run;
+    shard.carried_over = input.former_grants_may_be_valid;
     map.shards().push_back(std::move(shard));
   }
   return map;
--- a/source/sharding/shard_planner.h
+++ b/source/sharding/shard_planner.h
@@ -26,7 +26,7 @@
   // Of a new map: tokens up to this one may be known to workers.
   FencingToken token_base = 0;
   // Of a new map: grants of one that was lost may still be in force.
-  bool former_grants_may_run = false;
+  bool former_grants_may_be_valid = false;
 };
 
 struct PlannerConfig {
--- a/source/sidecar/heartbeat_grants.cc
+++ b/source/sidecar/heartbeat_grants.cc
@@ -24,16 +24,16 @@
           IsReported(report, shard) ? std::string() : shard.handover};
 }
 
-void LeaveOut(const WorkerHeartbeat& heartbeat, HeldShard* held) {
-  if (!held->releasing) held->left_out_after = heartbeat.sequence;
+void OmitFromLease(const WorkerHeartbeat& heartbeat, HeldShard* held) {
+  if (!held->releasing) held->omitted_at_sequence = heartbeat.sequence;
   held->releasing = true;
   held->usable_until = Instant{};
 }
 
 // Returns true when the release is complete.
-bool NoteRelease(const WorkerHeartbeat& heartbeat, HeldShard* held) {
+bool RecordRelease(const WorkerHeartbeat& heartbeat, HeldShard* held) {
   const sharding::Shard& shard = held->shard;
-  if (held->released || heartbeat.sequence <= held->left_out_after) return false;
+  if (held->released || heartbeat.sequence <= held->omitted_at_sequence) return false;
   if (HoldsAny(heartbeat.keys, shard.first, shard.last)) return false;
   held->released = true;
   held->handover = HandoverOf(heartbeat.keys, shard.first, shard.last);
@@ -47,7 +47,7 @@
   for (auto& [key, held] : *shards) {
     if (held.worker_id != heartbeat.worker_id) continue;
     if (held.releasing) {
-      changed = NoteRelease(heartbeat, &held) || changed;
+      changed = RecordRelease(heartbeat, &held) || changed;
       continue;
     }
     const sharding::Shard& shard = held.shard;
@@ -70,7 +70,7 @@
   for (auto& [key, held] : *shards) {
     if (held.worker_id != heartbeat.worker_id || held.superseded) continue;
     if (!settled(held.shard)) continue;
-    if (must_move(held.shard)) LeaveOut(heartbeat, &held);
+    if (must_move(held.shard)) OmitFromLease(heartbeat, &held);
     if (!held.releasing) listed.push_back(&held);
   }
   const auto rows_of = [&heartbeat](const std::vector<HeldShard*>& some) {
@@ -79,7 +79,7 @@
     for (const HeldShard* held : some) rows.push_back(RowOf(heartbeat.keys, held->shard));
     return JoinNeighbours(rows);
   };
-  if (!Fits(rows_of(listed))) LeaveOutWhatDoesNotFit(heartbeat, &listed);
+  if (!Fits(rows_of(listed))) OmitRowsThatDoNotFit(heartbeat, &listed);
   const Duration clock_error = hold / kClockRateDivisor;
   for (HeldShard* held : listed) {
     held->leased = true;
@@ -95,8 +95,8 @@
   return bytes <= wire_.MaxAcknowledgementBytes();
 }
 
-void HeartbeatGrants::LeaveOutWhatDoesNotFit(const WorkerHeartbeat& heartbeat,
-                                             std::vector<HeldShard*>* listed) {
+void HeartbeatGrants::OmitRowsThatDoNotFit(const WorkerHeartbeat& heartbeat,
+                                           std::vector<HeldShard*>* listed) {
   const auto is_new = [&heartbeat](const HeldShard* held) {
     return !IsReported(heartbeat.keys, held->shard);
   };
@@ -111,9 +111,9 @@
       fitting.push_back(held);
       continue;
     }
-    ++rows_left_out_;
+    ++rows_omitted_;
     // What the worker never had waits for room; what it has, it gives up to another worker.
-    if (!is_new(held)) LeaveOut(heartbeat, held);
+    if (!is_new(held)) OmitFromLease(heartbeat, held);
   }
   std::sort(fitting.begin(), fitting.end(), [](const HeldShard* left, const HeldShard* right) {
     return left->shard.first < right->shard.first;
--- a/source/sidecar/heartbeat_grants.h
+++ b/source/sidecar/heartbeat_grants.h
@@ -44,15 +44,15 @@
   // The highest token that the worker reported on keys of the shards.
   sharding::FencingToken highest_token_seen() const { return highest_token_seen_; }
   // Rows that did not fit, of all answers.
-  uint64_t rows_left_out() const { return rows_left_out_; }
+  uint64_t rows_omitted() const { return rows_omitted_; }
 
  private:
   bool Fits(const std::vector<LeasedKeys>& rows) const;
-  void LeaveOutWhatDoesNotFit(const WorkerHeartbeat& heartbeat, std::vector<HeldShard*>* listed);
+  void OmitRowsThatDoNotFit(const WorkerHeartbeat& heartbeat, std::vector<HeldShard*>* listed);
 
   const WireFormat& wire_;
   sharding::FencingToken highest_token_seen_ = 0;
-  uint64_t rows_left_out_ = 0;
+  uint64_t rows_omitted_ = 0;
 };
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/held_shard.h
+++ b/source/sidecar/held_shard.h
@@ -16,7 +16,7 @@
 enum class TokenUse {
   kNone,
   kByThisProcess,
-  kMaybeBefore,  // By the former life of this process.
+  kMaybeByEarlierRun,  // By the former life of this process.
 };
 
 struct HeldShard {
@@ -31,21 +31,21 @@
   TokenUse token_use = TokenUse::kNone;
   bool releasing = false;
   bool released = false;
-  bool refusal_in_doubt = false;  // The latest answer refused this shard, or another one.
-  bool superseded = false;        // The worker has seen a higher token on these keys.
+  bool refusal_unverified = false;  // The latest answer refused this shard, or another one.
+  bool superseded = false;          // The worker has seen a higher token on these keys.
   bool abandoned = false;  // Released because its grant ran out, by a worker that cannot renew it.
   // Of a shard that was carried over: the worker held it before, and has held it since.
   bool held_since_former_era = false;
   std::string handover;  // Of the release.
   // With grants in heartbeats:
-  bool leased = false;         // A lease that lists the shard was sent.
-  uint32_t missing = 0;        // Heartbeats in a row that did not report it although it was leased.
-  int64_t left_out_after = 0;  // Sequence of the heartbeat whose answer first left it out.
+  bool leased = false;   // A lease that lists the shard was sent.
+  uint32_t missing = 0;  // Heartbeats in a row that did not report it although it was leased.
+  int64_t omitted_at_sequence = 0;  // Sequence of the heartbeat whose answer first left it out.
 };
 
 // Keys that the worker may hold under a grant whose shard the map has given to a former worker of
 // this machine since, as another node does that knows no better.
-struct DisownedGrant {
+struct OrphanedGrant {
   std::string worker_id;
   sharding::ShardKey first = 0;
   sharding::ShardKey last = 0;
--- a/source/sidecar/key_lessor.h
+++ b/source/sidecar/key_lessor.h
@@ -15,7 +15,7 @@
   // The node is about to learn, or to write to the map, what the worker is to hold, or who is at
   // its address: an answer that waits for it a little saves the worker a whole heartbeat without
   // its keys.
-  virtual bool AwaitsKeys() const = 0;
+  virtual bool LeaseIsPending() const = 0;
   // What the answer to the newest heartbeat, which is written now, says of keys; nullopt: nothing.
   virtual std::optional<KeyLease> LeaseFor(const WorkerHeartbeat& heartbeat) = 0;
 };
--- a/source/sidecar/shard_coordinator.cc
+++ b/source/sidecar/shard_coordinator.cc
@@ -62,7 +62,7 @@
                                       : config_.departure_wait;
   sharding::PlannerInput input;
   input.token_base = shards_.TokenBase();
-  input.former_grants_may_run = shards_.restored() || !config_.first_start;
+  input.former_grants_may_be_valid = shards_.restored() || !config_.first_start;
   for (const auto& [node, peer] : peers_.peers()) {
     if (peer.record.service != config_.service) continue;
     sharding::PlannerWorker worker;
--- a/source/sidecar/shard_holder.cc
+++ b/source/sidecar/shard_holder.cc
@@ -67,9 +67,9 @@
   if (gone && !worker_id_.empty()) ended_workers_.insert(worker_id_);
   ended_workers_.erase(worker_id);
   worker_id_ = worker_id;
-  std::erase_if(disowned_,
-                [this](const DisownedGrant& grant) { return !MayBePresent(grant.worker_id); });
-  repeats_held_since_ = Instant{};
+  std::erase_if(orphaned_grants_,
+                [this](const OrphanedGrant& grant) { return !MayBePresent(grant.worker_id); });
+  renewals_blocked_since_ = Instant{};
   Reconcile();
 }
 
@@ -89,14 +89,14 @@
 
 void ShardHolder::Reconcile() {
   if (!DividedByKey() || reconciling_) return;
-  NoticePause();
+  DetectPause();
   reconciling_ = true;
-  ForgetSettledDisowned();
+  PruneOrphanedGrants();
   AdoptShards();
   // From here on the map is known as the former life of this process knew it.
   had_authority_ = had_authority_ || context_.AuthorityUntil() > loop_.Now();
-  if (ByHeartbeat()) {
-    AbandonLapsed();
+  if (GrantsByHeartbeat()) {
+    AbandonExpiredShards();
   } else {
     RenewGrants();
     ReleaseMoving();
@@ -109,14 +109,15 @@
 
 // One whose incarnation is known is looked at before each grant that is repeated.
 void ShardHolder::SuspectEnd(const char* reason) {
-  if (!DividedByKey() || ByHeartbeat() || context_.WorkerHasIncarnationId()) return;
+  if (!DividedByKey() || GrantsByHeartbeat() || context_.WorkerHasIncarnationId()) return;
   context_.InvalidateWorkerProof(reason);
 }
 
-void ShardHolder::NoticePause() {
+void ShardHolder::DetectPause() {
   const Instant now = loop_.Now();
-  const bool paused = turned_at_ != Instant{} && now - turned_at_ > config_.pause_noticed;
-  turned_at_ = now;
+  const bool paused =
+      last_reconcile_at_ != Instant{} && now - last_reconcile_at_ > config_.pause_threshold;
+  last_reconcile_at_ = now;
   if (paused) SuspectEnd("process-paused");
 }
 
@@ -127,11 +128,11 @@
   if (found) return true;
   const auto& shards = shards_.map().shards();
   return std::any_of(shards.begin(), shards.end(),
-                     [this](const sharding::Shard& shard) { return OfFormerWorker(shard); });
+                     [this](const sharding::Shard& shard) { return OwnedByFormerWorker(shard); });
 }
 
 // The shard belongs to a worker of this machine that certainly holds it no more.
-bool ShardHolder::OfFormerWorker(const sharding::Shard& shard) const {
+bool ShardHolder::OwnedByFormerWorker(const sharding::Shard& shard) const {
   if (shard.owner.node != config_.node || shard.owner.worker.empty()) return false;
   if (shard.owner.worker == worker_id_) return false;
   // Whoever is there has not told its incarnation: it may be the owner.
@@ -143,18 +144,19 @@
   // It fell silent: its grants, those of an earlier life of this process too, must have run out.
   const Instant now = loop_.Now();
   const auto found = holdings_.find({shard.first, shard.last, shard.token});
-  const bool grant_out =
-      found != holdings_.end() ? now <= found->second.held_until : MayBeHeldDisowned(shard);
-  return !grant_out && EarlierGrantsRanOut(now);
+  const bool grant_out = found != holdings_.end() ? now <= found->second.held_until
+                                                  : MayBeHeldUnderOrphanedGrant(shard);
+  return !grant_out && EarlierGrantsExpired(now);
 }
 
-bool ShardHolder::GrantsRanOut(const HeldShard& holding, Instant now) const {
-  return now > holding.held_until && !MayBeHeldDisowned(holding.shard) && EarlierGrantsRanOut(now);
+bool ShardHolder::GrantsExpired(const HeldShard& holding, Instant now) const {
+  return now > holding.held_until && !MayBeHeldUnderOrphanedGrant(holding.shard) &&
+         EarlierGrantsExpired(now);
 }
 
 // Grants that an earlier life of this process gave have run out.
-bool ShardHolder::EarlierGrantsRanOut(Instant now) const {
-  const Duration hold = ByHeartbeat() ? config_.heartbeat_hold : config_.hold;
+bool ShardHolder::EarlierGrantsExpired(Instant now) const {
+  const Duration hold = GrantsByHeartbeat() ? config_.heartbeat_hold : config_.hold;
   return now > started_at_ + hold + hold / kClockRateDivisor + config_.call_timeout;
 }
 
@@ -165,7 +167,7 @@
     if (shard.owner.node != config_.node || shard.owner.worker.empty()) continue;
     const HeldShardKey key(shard.first, shard.last, shard.token);
     HeldShard holding;
-    if (!had_authority_) holding.token_use = TokenUse::kMaybeBefore;
+    if (!had_authority_) holding.token_use = TokenUse::kMaybeByEarlierRun;
     if (const auto known = holdings_.find(key); known != holdings_.end()) {
       holding = known->second;
     } else if (const HeldShard* parent = FindHolding(shard.first);
@@ -184,7 +186,7 @@
     holding.shard = shard;
     wanted[key] = std::move(holding);
   }
-  RememberDisowned(wanted);
+  RecordOrphanedGrants(wanted);
   holdings_ = std::move(wanted);
 }
 
@@ -212,12 +214,12 @@
          former_grants_.MayBeInForce(now);
 }
 
-void ShardHolder::RememberDisowned(const HeldShards& wanted) {
+void ShardHolder::RecordOrphanedGrants(const HeldShards& wanted) {
   const Instant now = loop_.Now();
   for (const auto& [key, holding] : holdings_) {
     if (wanted.contains(key) || holding.released || holding.held_until < now) continue;
     if (!MayBePresent(holding.worker_id)) continue;
-    disowned_.push_back(
+    orphaned_grants_.push_back(
         {holding.worker_id, holding.shard.first, holding.shard.last, holding.held_until});
   }
 }
@@ -230,20 +232,20 @@
 }
 
 // The grants have run out, or the worker has let the keys go since.
-void ShardHolder::ForgetSettledDisowned() {
+void ShardHolder::PruneOrphanedGrants() {
   const Instant now = loop_.Now();
-  std::erase_if(disowned_, [&](const DisownedGrant& grant) {
+  std::erase_if(orphaned_grants_, [&](const OrphanedGrant& grant) {
     if (grant.held_until < now) return true;
     const HeldShard* holding = FindHolding(grant.first);
     return holding != nullptr && holding->released && holding->shard.Contains(grant.last);
   });
 }
 
-bool ShardHolder::MayBeHeldDisowned(const sharding::Shard& shard) const {
+bool ShardHolder::MayBeHeldUnderOrphanedGrant(const sharding::Shard& shard) const {
   const Instant now = loop_.Now();
-  return std::any_of(disowned_.begin(), disowned_.end(), [&](const DisownedGrant& grant) {
-    return now <= grant.held_until && grant.Overlaps(shard);
-  });
+  return std::any_of(
+      orphaned_grants_.begin(), orphaned_grants_.end(),
+      [&](const OrphanedGrant& grant) { return now <= grant.held_until && grant.Overlaps(shard); });
 }
 
 bool ShardHolder::MustMove(const sharding::Shard& shard) const {
@@ -252,7 +254,7 @@
 
 // While a change that takes the shard away is on its way, or its outcome is not known, the map in
 // force is no ground to act on: the change may be done at any moment.
-bool ShardHolder::OfThisWorker(const HeldShard& holding) const {
+bool ShardHolder::OwnedByThisWorker(const HeldShard& holding) const {
   return holding.worker_id == worker_id_ && shards_.Settled(holding.shard);
 }
 
@@ -262,11 +264,11 @@
   const WorkerProof proof = context_.VerifyWorker();
   if (proof == WorkerProof::kNone) return;
   std::optional<bool> may_repeat;  // Found out when it is asked for.
-  std::vector<sharding::Shard> granted_anew;
+  std::vector<sharding::Shard> newly_granted;
   for (auto& [key, holding] : holdings_) {
-    if (grants_.size() >= config_.grants_at_once) break;
+    if (grants_.size() >= config_.max_concurrent_grants) break;
     if (holding.call != 0 || holding.releasing || holding.superseded) continue;
-    if (!OfThisWorker(holding)) continue;
+    if (!OwnedByThisWorker(holding)) continue;
     // A shard that is to move is renewed until its release is sent.
     if (MustMove(holding.shard) || MayBeHeldElsewhere(holding, now)) continue;
     const bool held = holding.usable_until > now;
@@ -276,34 +278,34 @@
     if (repeats && !*may_repeat) {
       // A new token costs one change of the map for each start of a node whose keys were not handed
       // over before; the proof takes two heartbeats, up to 2.6 s without the keys.
-      if (holding.token_use == TokenUse::kMaybeBefore) holding.superseded = true;
+      if (holding.token_use == TokenUse::kMaybeByEarlierRun) holding.superseded = true;
       continue;
     }
     if (held && now - holding.sent_at < config_.renewal_interval) continue;
-    if (!held) granted_anew.push_back(holding.shard);
+    if (!held) newly_granted.push_back(holding.shard);
     SendGrant(key, &holding);
   }
-  LogGrants(granted_anew);
+  LogGrants(newly_granted);
 }
 
 bool ShardHolder::MayRepeatGrants(WorkerProof proof) {
   // What is known may be old: the worker may have ended since, the next one may listen, and the
   // news lie unread. A connection that is open at this moment tells.
   if (proof == WorkerProof::kIncarnation && context_.WorkerRuns()) {
-    repeats_held_since_ = Instant{};
+    renewals_blocked_since_ = Instant{};
     return true;
   }
   const Instant now = loop_.Now();
-  if (repeats_held_since_ == Instant{}) {
-    repeats_held_since_ = now;
+  if (renewals_blocked_since_ == Instant{}) {
+    renewals_blocked_since_ = now;
     context_.EnsureWorkerConnection();
   }
-  if (now - repeats_held_since_ >= config_.incarnation_patience) AskForNewTokens();
+  if (now - renewals_blocked_since_ >= config_.incarnation_timeout) RequestNewTokens();
   return false;
 }
 
-void ShardHolder::AskForNewTokens() {
-  repeats_held_since_ = Instant{};
+void ShardHolder::RequestNewTokens() {
+  renewals_blocked_since_ = Instant{};
   size_t count = 0;
   for (auto& [key, holding] : holdings_) {
     if (holding.token_use == TokenUse::kNone || holding.releasing) continue;
@@ -318,23 +320,23 @@
 // Only shards that the worker is not known to hold: renewals would be a line for each second. At
 // most one line for each tick, the first at once.
 void ShardHolder::LogGrants(const std::vector<sharding::Shard>& shards) {
-  granted_anew_.insert(granted_anew_.end(), shards.begin(), shards.end());
-  if (granted_anew_.empty() || loop_.Now() - grants_logged_at_ < config_.tick_interval) return;
+  unlogged_grants_.insert(unlogged_grants_.end(), shards.begin(), shards.end());
+  if (unlogged_grants_.empty() || loop_.Now() - grants_logged_at_ < config_.tick_interval) return;
   grants_logged_at_ = loop_.Now();
   log_.Write(LogLevel::kInfo, "keys_granted",
              {{"worker", worker_id_},
-              {"shards", granted_anew_.size()},
-              {"keys", KeyRanges(granted_anew_)},
-              {"token", granted_anew_.front().token},
+              {"shards", unlogged_grants_.size()},
+              {"keys", KeyRanges(unlogged_grants_)},
+              {"token", unlogged_grants_.front().token},
               {"revision", store::RevisionText(shards_.revision())},
               {"change_under_way", shards_.busy()}});
-  granted_anew_.clear();
+  unlogged_grants_.clear();
 }
 
 bool ShardHolder::MaySend(Instant now, sharding::ShardKey key) const {
   if (now >= context_.AuthorityUntil()) return false;
   const HeldShard* holding = FindHolding(key);
-  return holding != nullptr && !holding->releasing && OfThisWorker(*holding) &&
+  return holding != nullptr && !holding->releasing && OwnedByThisWorker(*holding) &&
          now < holding->usable_until;
 }
 
@@ -355,23 +357,26 @@
   Reconcile();
 }
 
-bool ShardHolder::ByHeartbeat() const { return delivery_ == routes::GrantDelivery::kHeartbeats; }
+bool ShardHolder::GrantsByHeartbeat() const {
+  return delivery_ == routes::GrantDelivery::kHeartbeats;
+}
 
-bool ShardHolder::WorkerReports() const {
-  return !ByHeartbeat() || !DividedByKey() || loop_.Now() - heard_at_ <= config_.heartbeat_silence;
+bool ShardHolder::WorkerCanReceiveKeys() const {
+  return !GrantsByHeartbeat() || !DividedByKey() ||
+         loop_.Now() - heard_at_ <= config_.heartbeat_silence;
 }
 
 void ShardHolder::OnKeyReport(const WorkerHeartbeat& heartbeat) {
-  if (!ByHeartbeat() || !DividedByKey() || heartbeat.worker_id != worker_id_) return;
+  if (!GrantsByHeartbeat() || !DividedByKey() || heartbeat.worker_id != worker_id_) return;
   heard_at_ = loop_.Now();
   if (heartbeat_grants_.OnReport(heartbeat, &holdings_)) Reconcile();
 }
 
-bool ShardHolder::AwaitsKeys() const {
+bool ShardHolder::LeaseIsPending() const {
   if (!DividedByKey()) return false;
   // A heartbeat proves that the worker was there when its former one was answered. Answered after
   // there is a connection, this one lets the next prove whose connection that is.
-  if (!ByHeartbeat()) {
+  if (!GrantsByHeartbeat()) {
     return context_.WorkerHasIncarnationId() && context_.VerifyWorker() == WorkerProof::kNone;
   }
   if (leaving_ || shards_.map().empty()) return false;
@@ -380,13 +385,14 @@
   // more.
   const auto& shards = shards_.map().shards();
   return std::any_of(shards.begin(), shards.end(), [this](const sharding::Shard& shard) {
-    return OfFormerWorker(shard) ||
+    return OwnedByFormerWorker(shard) ||
            (shard.owner == sharding::WorkerId{config_.node, worker_id_} && !shards_.Settled(shard));
   });
 }
 
 std::optional<KeyLease> ShardHolder::LeaseFor(const WorkerHeartbeat& heartbeat) {
-  if (!ByHeartbeat() || !DividedByKey() || heartbeat.worker_id != worker_id_) return std::nullopt;
+  if (!GrantsByHeartbeat() || !DividedByKey() || heartbeat.worker_id != worker_id_)
+    return std::nullopt;
   // Without the map, or the right to act on it, nothing is known of what the worker is to hold.
   if (shards_.map().empty()) return std::nullopt;
   const Instant now = loop_.Now();
@@ -410,21 +416,21 @@
         return shards_.Settled(shard) && !held_elsewhere.contains(shard.first);
       },
       &holdings_);
-  std::vector<sharding::Shard> granted_anew;
+  std::vector<sharding::Shard> newly_granted;
   for (const HeldShardKey& key : lapsed) {
     const HeldShard& holding = holdings_.at(key);
-    if (holding.usable_until > now) granted_anew.push_back(holding.shard);
+    if (holding.usable_until > now) newly_granted.push_back(holding.shard);
   }
-  LogGrants(granted_anew);
+  LogGrants(newly_granted);
   return lease;
 }
 
 // A worker whose heartbeats do not arrive cannot renew its keys: once its grants have run out,
 // others may have them.
-void ShardHolder::AbandonLapsed() {
-  if (worker_id_.empty() || WorkerReports()) return;
+void ShardHolder::AbandonExpiredShards() {
+  if (worker_id_.empty() || WorkerCanReceiveKeys()) return;
   const Instant now = loop_.Now();
-  if (!EarlierGrantsRanOut(now) || context_.ChooseSuccessors(1).empty()) return;
+  if (!EarlierGrantsExpired(now) || context_.ChooseSuccessors(1).empty()) return;
   size_t count = 0;
   for (auto& [key, holding] : holdings_) {
     if (holding.released || holding.worker_id != worker_id_ || now <= holding.held_until) continue;
@@ -442,7 +448,7 @@
               {"heartbeat_age_ms", ToMilliseconds(now - heard_at_)}});
 }
 
-bool ShardHolder::HoldsNothing() const {
+bool ShardHolder::OwnsNoShards() const {
   const auto& shards = shards_.map().shards();
   return std::none_of(shards.begin(), shards.end(), [this](const sharding::Shard& shard) {
     return shard.owner.node == config_.node && !shard.owner.worker.empty();
@@ -458,13 +464,13 @@
 
 bool ShardHolder::WorkerMayHoldKeys() const {
   const Instant now = loop_.Now();
-  if (std::any_of(disowned_.begin(), disowned_.end(),
-                  [now](const DisownedGrant& grant) { return now <= grant.held_until; })) {
+  if (std::any_of(orphaned_grants_.begin(), orphaned_grants_.end(),
+                  [now](const OrphanedGrant& grant) { return now <= grant.held_until; })) {
     return true;
   }
   return std::any_of(holdings_.begin(), holdings_.end(), [&](const auto& entry) {
     const HeldShard& holding = entry.second;
-    return !holding.released && (now <= holding.held_until || !EarlierGrantsRanOut(now));
+    return !holding.released && (now <= holding.held_until || !EarlierGrantsExpired(now));
   });
 }
 
--- a/source/sidecar/shard_holder.h
+++ b/source/sidecar/shard_holder.h
@@ -48,17 +48,17 @@
   // may be there, gets its keys under new tokens, which any incarnation may take: a change of the
   // map. With the renewal interval it is less than a grant lasts, and more than a heartbeat takes
   // to come on most deployments, which tells mostly.
-  Duration incarnation_patience = std::chrono::milliseconds(1600);
+  Duration incarnation_timeout = std::chrono::milliseconds(1600);
   // Without a turn for this long, the process may have slept through the end of its worker.
-  Duration pause_noticed = std::chrono::milliseconds(700);
+  Duration pause_threshold = std::chrono::milliseconds(700);
   Duration call_timeout = std::chrono::milliseconds(400);
   // A release answers when what runs on the keys has ended.
   Duration release_timeout = std::chrono::seconds(2);
   Duration tick_interval = std::chrono::milliseconds(200);
-  size_t grants_at_once = 4;
+  size_t max_concurrent_grants = 4;
   // A release only waits, for what runs on its keys; keys that must leave a busy worker leave it
   // together.
-  size_t releases_at_once = 32;
+  size_t max_concurrent_releases = 32;
 };
 
 // What the holder asks of the node around it.
@@ -69,7 +69,7 @@
   virtual Instant AuthorityUntil() const = 0;
   // Holds as long as this life of the node is the latest one: a change of the map that it sent must
   // not be done when a later life acts on the map as it was.
-  virtual store::Condition StillThisLife() const = 0;
+  virtual store::Condition LatestRunCondition() const = 0;
   // What is known of the process at the worker's address. An order meant for a worker must not
   // reach the next one there, which would hold keys under the former's token. Asks who is there
   // when that is not known.
@@ -122,14 +122,14 @@
   void OnKeyRefused(sharding::ShardKey key) override;
 
   void OnKeyReport(const WorkerHeartbeat& heartbeat) override;
-  bool AwaitsKeys() const override;
+  bool LeaseIsPending() const override;
   std::optional<KeyLease> LeaseFor(const WorkerHeartbeat& heartbeat) override;
 
   // The worker can be given keys: by calls, or its heartbeats arrive.
-  bool WorkerReports() const;
+  bool WorkerCanReceiveKeys() const;
   sharding::KeyLoadMeter& meter() { return meter_; }
   // No shard of the map names this node as its owner.
-  bool HoldsNothing() const;
+  bool OwnsNoShards() const;
   // Workers of the service tell their incarnations, as the owners in the map show: an identity
   // without one is not whole.
   bool OwnersHaveIncarnationIds() const;
@@ -140,14 +140,14 @@
  private:
   void Tick();
   void Reconcile();
-  void NoticePause();
+  void DetectPause();
   void AdoptShards();
   void RenewGrants();
   // Whether grants under tokens that were granted before may be sent to the worker.
   bool MayRepeatGrants(WorkerProof proof);
   // The worker may have ended unnoticed.
   void SuspectEnd(const char* reason);
-  void AskForNewTokens();
+  void RequestNewTokens();
   // Another worker may hold the shard under a grant of a former era of the store.
   bool MayBeHeldElsewhere(const HeldShard& holding, Instant now) const;
   // The worker certainly holds all keys of the shard, which was carried over, under the tokens of
@@ -177,20 +177,20 @@
   Duration CommitDelay();
   bool MustMove(const sharding::Shard& shard) const;
   // The worker beside this node owns the shard, as far as is known.
-  bool OfThisWorker(const HeldShard& holding) const;
+  bool OwnedByThisWorker(const HeldShard& holding) const;
   bool HasChangeToCommit() const;
   bool DividedByKey() const { return sharded_.value_or(false); }
-  bool ByHeartbeat() const;
-  bool EarlierGrantsRanOut(Instant now) const;
+  bool GrantsByHeartbeat() const;
+  bool EarlierGrantsExpired(Instant now) const;
   // No grant of these keys that this process or an earlier life of it sent can be in force.
-  bool GrantsRanOut(const HeldShard& holding, Instant now) const;
-  void AbandonLapsed();
-  bool OfFormerWorker(const sharding::Shard& shard) const;
+  bool GrantsExpired(const HeldShard& holding, Instant now) const;
+  void AbandonExpiredShards();
+  bool OwnedByFormerWorker(const sharding::Shard& shard) const;
   // Of grants that the worker may have when the map has its shards no more.
-  void RememberDisowned(const HeldShards& wanted);
-  void ForgetSettledDisowned();
+  void RecordOrphanedGrants(const HeldShards& wanted);
+  void PruneOrphanedGrants();
   bool MayBePresent(const std::string& worker_id) const;
-  bool MayBeHeldDisowned(const sharding::Shard& shard) const;
+  bool MayBeHeldUnderOrphanedGrant(const sharding::Shard& shard) const;
   void StartCall(http::CallSet* calls, const http::Request& request, http::CallOptions options,
                  Duration timeout, http::CallSet::Callback callback);
   const HeldShard* FindHolding(sharding::ShardKey key) const;
@@ -208,20 +208,21 @@
   event::Timer commit_timer_;
   sharding::KeyLoadMeter meter_;
   HeldShards holdings_;
-  std::vector<DisownedGrant> disowned_;  // Of the present worker, or of one that fell silent.
+  std::vector<OrphanedGrant>
+      orphaned_grants_;  // Of the present worker, or of one that fell silent.
   http::CallSet grants_;
   http::CallSet releases_;
   HeartbeatGrants heartbeat_grants_;
   routes::GrantDelivery delivery_ = routes::GrantDelivery::kCalls;
-  bool had_authority_ = false;    // Since this process started.
-  Instant repeats_held_since_{};  // Grants are due that must not be repeated; Instant{}: none.
-  Instant turned_at_{};           // The latest look at what is to be done.
-  Instant heard_at_{};            // The latest heartbeat of the worker that reported keys.
-  ConflictBackoff backoff_;       // Of changes of the map.
-  size_t grant_lanes_ = 4;        // Shards whose grants have connections of their own.
-  uint64_t order_count_ = 0;      // Grants and releases sent; numbers them.
+  bool had_authority_ = false;        // Since this process started.
+  Instant renewals_blocked_since_{};  // Grants are due that must not be repeated; Instant{}: none.
+  Instant last_reconcile_at_{};       // The latest look at what is to be done.
+  Instant heard_at_{};                // The latest heartbeat of the worker that reported keys.
+  ConflictBackoff backoff_;           // Of changes of the map.
+  size_t grant_lanes_ = 4;            // Shards whose grants have connections of their own.
+  uint64_t order_count_ = 0;          // Grants and releases sent; numbers them.
   uint64_t grants_sent_ = 0;
-  std::vector<sharding::Shard> granted_anew_;  // Not logged yet.
+  std::vector<sharding::Shard> unlogged_grants_;  // Not logged yet.
   Instant grants_logged_at_{};
   std::string worker_id_;
   bool worker_absent_ = false;           // It was looked for, and none is there.
--- a/source/sidecar/shard_holder_commits.cc
+++ b/source/sidecar/shard_holder_commits.cc
@@ -26,7 +26,7 @@
   const bool handed_over = HandOverReleased(&changed);
   if (!reassigned && !renewed && !handed_over) return;
   const size_t released = ReleasedCount();
-  shards_.Replace(changed, {context_.StillThisLife()},
+  shards_.Replace(changed, {context_.LatestRunCondition()},
                   [this, reassigned, renewed, released](ShardStore::Outcome outcome) {
                     log_.Write(LogLevel::kInfo, "shards_changed",
                                {{"committed", outcome == ShardStore::Outcome::kCommitted},
@@ -51,15 +51,15 @@
   bool changed = false;
   sharding::FencingToken token = 0;
   for (sharding::Shard& shard : map->shards()) {
-    if (!OfFormerWorker(shard)) continue;
+    if (!OwnedByFormerWorker(shard)) continue;
     if (!changed) token = map->NextToken();
     changed = true;
     // An owner whose incarnation was not known may be the worker that is here, and a worker that is
     // here may hold what another node took for its predecessor's: it lets the keys go as any
     // others, under a token that is known to be its own. Given up at once, they had two holders for
     // as long as the grant lasts, up to 10 s.
-    const bool may_be_here =
-        shard.owner.worker == wire_.StatedIdentity(worker_id_) || MayBeHeldDisowned(shard);
+    const bool may_be_here = shard.owner.worker == wire_.StatedIdentity(worker_id_) ||
+                             MayBeHeldUnderOrphanedGrant(shard);
     if (worker_id_.empty() || (leaving_ && !may_be_here)) {
       shard.owner.worker.clear();
       shard.handover.clear();
@@ -86,7 +86,7 @@
 bool ShardHolder::RenewTokens(sharding::ShardMap* map) {
   bool changed = false;
   sharding::FencingToken token = 0;
-  if (ByHeartbeat()) map->RaiseLastToken(heartbeat_grants_.highest_token_seen());
+  if (GrantsByHeartbeat()) map->RaiseLastToken(heartbeat_grants_.highest_token_seen());
   for (sharding::Shard& shard : map->shards()) {
     const auto found = holdings_.find({shard.first, shard.last, shard.token});
     if (found == holdings_.end() || !MustRenewToken(found->second)) continue;
--- a/source/sidecar/shard_holder_orders.cc
+++ b/source/sidecar/shard_holder_orders.cc
@@ -59,9 +59,9 @@
   ++grants_sent_;
   holding->call = ++order_count_;
   const std::string lane = GrantLane(key);
-  const bool own_answer = holding->refusal_in_doubt || lane != kSharedGrantLane;
-  const http::AnswerMatch match = holding->refusal_in_doubt ? http::AnswerMatch::OwnConnection()
-                                                            : http::AnswerMatch::Lane(lane);
+  const bool own_answer = holding->refusal_unverified || lane != kSharedGrantLane;
+  const http::AnswerMatch match = holding->refusal_unverified ? http::AnswerMatch::OwnConnection()
+                                                              : http::AnswerMatch::Lane(lane);
   StartCall(&grants_, wire_.EncodeGrant(grant), http::CallOptions(match, "grant"),
             config_.call_timeout,
             [this, key, now, hold, call = holding->call,
@@ -77,10 +77,10 @@
   HeldShard& holding = found->second;
   holding.call = 0;
   const bool refused = response.has_value() && response->status == kConflict;
-  holding.refusal_in_doubt = refused && !own_answer;
+  holding.refusal_unverified = refused && !own_answer;
   if (response.has_value() && response->status == kOk) {
     holding.usable_until = std::max(holding.usable_until, sent + hold - hold / kClockRateDivisor);
-  } else if (holding.refusal_in_doubt) {
+  } else if (holding.refusal_unverified) {
     // Perhaps the answer to the grant of another shard: it is asked again on its own connection.
     holding.sent_at = Instant{};
   } else if (refused) {
@@ -105,7 +105,7 @@
   for (auto& [key, holding] : holdings_) {
     if (!MustMove(holding.shard) || holding.released || holding.call != 0) continue;
     if (holding.worker_id != worker_id_ || loop_.Now() < holding.retry_at) continue;
-    if (releases_.size() >= config_.releases_at_once) return;
+    if (releases_.size() >= config_.max_concurrent_releases) return;
     SendRelease(key, &holding);
   }
 }
@@ -142,7 +142,7 @@
     holding.released = true;
     const std::string* handover = response->headers.Find(wire_.headers().handover);
     if (handover != nullptr) holding.handover = *handover;
-  } else if (GrantsRanOut(holding, loop_.Now())) {
+  } else if (GrantsExpired(holding, loop_.Now())) {
     // A worker that cannot be reached holds the keys no more.
     holding.released = true;
   } else {
--- a/source/sidecar/sidecar.cc
+++ b/source/sidecar/sidecar.cc
@@ -525,7 +525,7 @@
   record.worker_id = monitor_.worker_id();
   record.slots = monitor_.slots();
   record.worker_state = monitor_.state();
-  record.takes_keys = holder_.WorkerReports() &&
+  record.takes_keys = holder_.WorkerCanReceiveKeys() &&
                       (monitor_.IdentityIsComplete() || !holder_.OwnersHaveIncarnationIds());
   record.processor_percent = static_cast<uint32_t>(settings_.processor_cores * kPercent);
   record.link_megabits = LinkMegabits(settings_);
@@ -540,7 +540,7 @@
   // What this node still takes itself, its own worker may run when no other can.
   if (notice.has_value()) notice->takes_requests = notice->ends;
   peers_.OnStopNotice(loop_.Now(), settings_.node_name, notice);
-  if (!holder_.HoldsNothing() && !LeavesKeys()) lease_.RenewNow();
+  if (!holder_.OwnsNoShards() && !LeavesKeys()) lease_.RenewNow();
   holder_.SetLeaving(LeavesKeys());
 }
 
--- a/source/sidecar/sidecar.h
+++ b/source/sidecar/sidecar.h
@@ -66,7 +66,7 @@
  private:
   // ShardHolderContext
   Instant AuthorityUntil() const override;
-  store::Condition StillThisLife() const override { return lease_.ItemUnchanged(); }
+  store::Condition LatestRunCondition() const override { return lease_.ItemUnchanged(); }
   WorkerProof VerifyWorker() override {
     monitor_.ProbeIdentity();
     return monitor_.proof();
--- a/source/sidecar/stop_sequence.cc
+++ b/source/sidecar/stop_sequence.cc
@@ -27,7 +27,7 @@
                      {{"clients", running.clients},
                       {"nested", running.nested},
                       {"forwarded", running.forwarded},
-                      {"holds_keys", !context_.holder.HoldsNothing()},
+                      {"holds_keys", !context_.holder.OwnsNoShards()},
                       {"store_reachable", context_.store.reachable()}});
   Continue();
 }
@@ -39,7 +39,7 @@
 void StopSequence::Continue() {
   const Instant now = context_.loop.Now();
   observer_.on_progress();
-  const bool idle = UnderWay().total() == 0 && context_.holder.HoldsNothing();
+  const bool idle = UnderWay().total() == 0 && context_.holder.OwnsNoShards();
   const bool over = idle && !context_.schedule.TakesNewRequests(now);
   if (over || context_.schedule.OutOfTime(now)) {
     End();
@@ -59,7 +59,7 @@
                       {"clients", running.clients},
                       {"nested", running.nested},
                       {"forwarded", running.forwarded},
-                      {"holds_keys", !context_.holder.HoldsNothing()},
+                      {"holds_keys", !context_.holder.OwnsNoShards()},
                       {"store_reachable", context_.store.reachable()}});
 }
 
@@ -81,7 +81,7 @@
                       {"forwarded_cut", cut.forwarded},
                       {"refused", context_.ingress.refused_in_stop()},
                       {"forwarded_refused", context_.inbound_handler.refused_in_stop()},
-                      {"holds_keys", !context_.holder.HoldsNothing()}});
+                      {"holds_keys", !context_.holder.OwnsNoShards()}});
   // One turn of the loop sends the last answers and calls.
   end_timer_.Start(kPoll);
 }
--- a/source/sidecar/worker_monitor.cc
+++ b/source/sidecar/worker_monitor.cc
@@ -139,7 +139,7 @@
 void WorkerMonitor::ContinueDeferred() {
   if (!deferred_.has_value()) return;
   const bool over = loop_.Now() - deferred_->exchange->received() >= kMaxDeferral;
-  const bool known = deferred_->processed ? !observer_.lessor->AwaitsKeys() : synchronized_;
+  const bool known = deferred_->processed ? !observer_.lessor->LeaseIsPending() : synchronized_;
   if (!over && !known && (!deferred_->processed || IsNewest(deferred_->heartbeat))) {
     deferred_timer_.Start(kDeferralPoll);
     return;
@@ -191,7 +191,8 @@
   if (heartbeat.draining) {
     RecordDrain(exchange, heartbeat.worker_id,
                 [this, exchange, heartbeat] { AcknowledgeHeartbeat(exchange, heartbeat); });
-  } else if (IsNewest(heartbeat) && observer_.lessor != nullptr && observer_.lessor->AwaitsKeys() &&
+  } else if (IsNewest(heartbeat) && observer_.lessor != nullptr &&
+             observer_.lessor->LeaseIsPending() &&
              loop_.Now() - exchange->received() < kMaxDeferral) {
     Defer(exchange, heartbeat, /*processed=*/true);
   } else {
--- a/tests/platform_adapter/heartbeat_grants_test.cc
+++ b/tests/platform_adapter/heartbeat_grants_test.cc
@@ -152,7 +152,7 @@
   const KeyLease lease = Lease(heartbeat);
   CHECK(wire.EncodeAcknowledgement(lease).size() <= wire.MaxAcknowledgementBytes());
   CHECK(lease.keys.size() > 100);
-  CHECK(grants.rows_left_out() > 0);
+  CHECK(grants.rows_omitted() > 0);
   for (const HeldKeys& row : held_rows) {
     CHECK(std::any_of(lease.keys.begin(), lease.keys.end(),
                       [&](const LeasedKeys& keys) { return keys.first == row.first; }));
@@ -204,5 +204,5 @@
     }
   }
   CHECK(largest <= wire.MaxAcknowledgementBytes());
-  CHECK_EQUAL(0, grants.rows_left_out());
+  CHECK_EQUAL(0, grants.rows_omitted());
 }
