--- a/source/sharding/key_load.cc
+++ b/source/sharding/key_load.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void KeyLoadMeter::Roll(Duration elapsed) {
+void KeyLoadMeter::EndPeriod(Duration elapsed) {
   const double seconds = std::chrono::duration<double>(elapsed).count();
   if (seconds <= 0) return;
   const double weight = 1 - std::exp(-seconds / kSmoothingSeconds);
--- a/source/sharding/key_load.h
+++ b/source/sharding/key_load.h
@@ -40,7 +40,7 @@
  public:
   void OnRequest(ShardKey key) { ++counts_[BucketOf(key)]; }
   // Ends a period of counting; `elapsed` is its length.
-  void Roll(Duration elapsed);
+  void EndPeriod(Duration elapsed);
   // Fills the rates and the busiest buckets of a report.
   void Fill(LoadReport* report) const;
 
--- a/source/sharding/shard_map.cc
+++ b/source/sharding/shard_map.cc
@@ -41,7 +41,7 @@
   return shard.Contains(key) ? &shard : nullptr;
 }
 
-bool ShardMap::Keeps(const Shard& shard) const {
+bool ShardMap::KeepsAssignment(const Shard& shard) const {
   return std::all_of(shards_.begin(), shards_.end(), [&shard](const Shard& other) {
     const bool apart = other.last < shard.first || shard.last < other.first;
     return apart || (other.owner == shard.owner && other.token == shard.token);
--- a/source/sharding/shard_map.h
+++ b/source/sharding/shard_map.h
@@ -55,7 +55,7 @@
   const Shard* Find(ShardKey key) const;
 
   // Every key of `shard` belongs to its owner under its token here too, whole or in parts.
-  bool Keeps(const Shard& shard) const;
+  bool KeepsAssignment(const Shard& shard) const;
 
   // Draws a token higher than every one that this map ever held.
   FencingToken NextToken() { return ++last_token_; }
--- a/source/sharding/shard_planner.cc
+++ b/source/sharding/shard_planner.cc
@@ -56,7 +56,7 @@
     }
   }
 
-  double Of(ShardKey first, ShardKey last) const {
+  double KeyRangeRate(ShardKey first, ShardKey last) const {
     return sums_[BucketOf(last) + 1] - sums_[BucketOf(first)];
   }
 
@@ -101,7 +101,7 @@
                               const BucketLoads& loads) {
   std::map<std::string, double> rates;
   for (const Shard& shard : map.shards()) {
-    rates[shard.owner.node] += loads.Of(shard.first, shard.last);
+    rates[shard.owner.node] += loads.KeyRangeRate(shard.first, shard.last);
   }
   std::vector<Usage> usages;
   usages.reserve(workers.size());
@@ -123,7 +123,7 @@
 }
 
 // Workers that a move under way leads from or to.
-void LeaveOutMoving(const ShardMap& map, std::vector<Usage>* usages) {
+void ExcludeMovingWorkers(const ShardMap& map, std::vector<Usage>* usages) {
   std::set<std::string> moving;
   for (const Shard& shard : map.shards()) {
     if (shard.move_to_node.empty()) continue;
@@ -152,7 +152,7 @@
     while (!candidates.empty()) {
       Piece piece = candidates.back();
       candidates.pop_back();
-      piece.rate = loads.Of(piece.first, piece.last);
+      piece.rate = loads.KeyRangeRate(piece.first, piece.last);
       if (piece.rate <= 0 || (best.has_value() && piece.rate <= best->rate)) continue;
       if (piece.rate <= limit) {
         best = piece;
@@ -213,26 +213,26 @@
 
 }  // namespace
 
-std::vector<WorkerId> SpreadOver(const ShardMap& map, const PlannerInput& input,
-                                 const std::string& leaving_node, size_t shard_count) {
+std::vector<WorkerId> ChooseReceivers(const ShardMap& map, const PlannerInput& input,
+                                      const std::string& leaving_node, size_t shard_count) {
   const auto accepting = Accepting(input, leaving_node);
   std::vector<WorkerId> targets;
   if (accepting.empty()) return targets;
   const BucketLoads loads(map, input);
-  std::map<std::string, double> burden;
+  std::map<std::string, double> load_by_node;
   for (const Shard& shard : map.shards()) {
-    burden[shard.owner.node] += loads.Of(shard.first, shard.last);
+    load_by_node[shard.owner.node] += loads.KeyRangeRate(shard.first, shard.last);
   }
-  const double per_shard =
-      std::max(1.0, burden[leaving_node] / std::max<double>(1, static_cast<double>(shard_count)));
+  const double per_shard = std::max(
+      1.0, load_by_node[leaving_node] / std::max<double>(1, static_cast<double>(shard_count)));
   for (size_t index = 0; index < shard_count; ++index) {
     const auto lightest = std::min_element(
         accepting.begin(), accepting.end(), [&](const auto* left, const auto* right) {
-          return burden[left->id.node] / std::max(1U, left->slots) <
-                 burden[right->id.node] / std::max(1U, right->slots);
+          return load_by_node[left->id.node] / std::max(1U, left->slots) <
+                 load_by_node[right->id.node] / std::max(1U, right->slots);
         });
     targets.push_back((*lightest)->id);
-    burden[(*lightest)->id.node] += per_shard;
+    load_by_node[(*lightest)->id.node] += per_shard;
   }
   return targets;
 }
@@ -265,16 +265,16 @@
     plan.changed = true;
   }
   for (const auto& [node, count] : orphans) {
-    std::vector<WorkerId> targets = SpreadOver(map, input, node, count);
+    std::vector<WorkerId> targets = ChooseReceivers(map, input, node, count);
     // A worker that is alone in its service, and has come back, is the only one that can take them.
-    if (targets.empty()) targets = SpreadOver(map, input, "", count);
+    if (targets.empty()) targets = ChooseReceivers(map, input, "", count);
     if (targets.empty()) continue;
     size_t next = 0;
     for (Shard& shard : plan.map.shards()) {
       const bool given_up = shard.owner.worker.empty();
       if (shard.owner.node != node) continue;
       if (!given_up && !input.departed_nodes.contains(node)) continue;
-      if (!given_up) plan.relies_on_absence.insert(node);
+      if (!given_up) plan.nodes_assumed_absent.insert(node);
       // A shard that was given up may have been released with a handover, which stays.
       ShardMap::Assign(&shard, targets[next++ % targets.size()], token,
                        given_up ? shard.handover : std::string());
@@ -304,7 +304,7 @@
   std::vector<Usage> usages = MakeUsages(map, input, accepting, loads);
   const double receiver_limit =
       std::max(config.receiver_utilization, MeanUtilization(usages) + config.utilization_gap / 2);
-  LeaveOutMoving(map, &usages);
+  ExcludeMovingWorkers(map, &usages);
   plan.map = map;
   plan.reason = "even";
   const size_t most_moves =
--- a/source/sharding/shard_planner.h
+++ b/source/sharding/shard_planner.h
@@ -55,8 +55,9 @@
 struct Plan {
   bool changed = false;
   ShardMap map;
-  std::set<std::string> relies_on_absence;  // Nodes whose shards were taken without their consent.
-  std::string reason;                       // For the log.
+  std::set<std::string>
+      nodes_assumed_absent;  // Nodes whose shards were taken without their consent.
+  std::string reason;        // For the log.
 };
 
 // Changes of ownership that must not wait: the first assignment, shards that were given up, shards
@@ -71,7 +72,7 @@
 
 // The worker that should take the next shard of `worker` when that one leaves; spread by what each
 // owns. Empty when no other accepts.
-std::vector<WorkerId> SpreadOver(const ShardMap& map, const PlannerInput& input,
-                                 const std::string& leaving_node, size_t shard_count);
+std::vector<WorkerId> ChooseReceivers(const ShardMap& map, const PlannerInput& input,
+                                      const std::string& leaving_node, size_t shard_count);
 
 }  // namespace runshelf::sharding
--- a/source/sidecar/shard_coordinator.cc
+++ b/source/sidecar/shard_coordinator.cc
@@ -49,7 +49,7 @@
   MeasureFormerGrants();
   if (shards_.busy()) return;
   Repair();
-  if (shards_.busy() || !shards_.OfPresentEra()) return;
+  if (shards_.busy() || !shards_.IsOfCurrentEra()) return;
   if (loop_.Now() - balanced_at_ < config_.balance_interval) return;
   balanced_at_ = loop_.Now();
   Balance();
@@ -130,7 +130,7 @@
 }
 
 void ShardCoordinator::Repair() {
-  if (!shards_.OfPresentEra()) {
+  if (!shards_.IsOfCurrentEra()) {
     CarryOver();
     return;
   }
@@ -163,7 +163,7 @@
 
 void ShardCoordinator::CarryOver() {
   const Instant since =
-      shards_.era_since() + (shards_.FromCopy() ? config_.carry_over_wait : Duration(0));
+      shards_.era_since() + (shards_.FromRestoredStore() ? config_.carry_over_wait : Duration(0));
   if (!shards_.MustBeCarriedOver() || !IsDue(since, loop_.Now())) return;
   const store::StoreEra former_era = shards_.era();
   const store::Revision former_revision = shards_.revision();
@@ -193,7 +193,7 @@
 
 void ShardCoordinator::Commit(const sharding::Plan& plan) {
   std::vector<store::Condition> absent;
-  for (const std::string& node : plan.relies_on_absence) {
+  for (const std::string& node : plan.nodes_assumed_absent) {
     absent.push_back({config_.node_key_prefix + node, 0});
   }
   const std::string reason = plan.reason;
--- a/source/sidecar/shard_holder_commits.cc
+++ b/source/sidecar/shard_holder_commits.cc
@@ -15,7 +15,7 @@
 Duration ShardHolder::CommitDelay() { return backoff_.Wait(random_, reassigning_); }
 
 void ShardHolder::CommitChanges() {
-  if (!DividedByKey() || shards_.map().empty() || !shards_.OfPresentEra()) return;
+  if (!DividedByKey() || shards_.map().empty() || !shards_.IsOfCurrentEra()) return;
   if (shards_.busy()) {
     commit_timer_.Start(kCommitRetry);
     return;
--- a/source/sidecar/shard_map_key.h
+++ b/source/sidecar/shard_map_key.h
@@ -28,7 +28,7 @@
   // store kept of a former era's map is no newer than what was known of it while that era lasted.
   bool OlderThan(const ShardMapKey& key, store::Revision item_revision) const;
   // The map went back to an older state together with the store.
-  bool FromCopy() const { return store::EraOf(revision) > era; }
+  bool FromRestoredStore() const { return store::EraOf(revision) > era; }
 };
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/shard_store.cc
+++ b/source/sidecar/shard_store.cc
@@ -42,10 +42,10 @@
   return !changing_.contains(shard.first) && !undecided_.contains(shard.first);
 }
 
-ShardStore::FirstKeys ShardStore::NotKeptBy(const sharding::ShardMap& changed) const {
+ShardStore::FirstKeys ShardStore::ShardsChangedBy(const sharding::ShardMap& changed) const {
   FirstKeys keys;
   for (const sharding::Shard& shard : map_.shards()) {
-    if (!changed.Keeps(shard)) keys.insert(shard.first);
+    if (!changed.KeepsAssignment(shard)) keys.insert(shard.first);
   }
   return keys;
 }
@@ -53,7 +53,7 @@
 void ShardStore::Replace(const sharding::ShardMap& map,
                          const std::vector<store::Condition>& conditions,
                          std::function<void(Outcome)> callback) {
-  changing_ = NotKeptBy(map);
+  changing_ = ShardsChangedBy(map);
   const ShardMapKey key{service_, era()};
   store::Transaction transaction;
   transaction.conditions = conditions;
--- a/source/sidecar/shard_store.h
+++ b/source/sidecar/shard_store.h
@@ -31,11 +31,11 @@
   // Of the store, for which the map was made; the present one while there is no map.
   store::StoreEra era() const { return map_.empty() ? store_.era() : version_.era; }
   // Changes can be made: the map is that of the present era.
-  bool OfPresentEra() const { return era() == store_.era(); }
+  bool IsOfCurrentEra() const { return era() == store_.era(); }
   // The map is of a former era of the store.
   bool MustBeCarriedOver() const { return era() < store_.era(); }
   // What is known of the map was read from the copy that the store came back from.
-  bool FromCopy() const { return version_.FromCopy(); }
+  bool FromRestoredStore() const { return version_.FromRestoredStore(); }
   // Tokens of former eras are below this one.
   sharding::FencingToken TokenBase() const;
   // When this process first knew of the present era.
@@ -67,7 +67,7 @@
   // First keys of shards of the map in force; they do not overlap.
   using FirstKeys = std::set<sharding::ShardKey>;
 
-  FirstKeys NotKeptBy(const sharding::ShardMap& changed) const;
+  FirstKeys ShardsChangedBy(const sharding::ShardMap& changed) const;
   void TakeOver(sharding::ShardMap map, const ShardMapVersion& version);
   void Commit(const store::Transaction& transaction, const ShardMapKey& key,
               const sharding::ShardMap& map, std::function<void(Outcome)> callback);
--- a/source/sidecar/sidecar.cc
+++ b/source/sidecar/sidecar.cc
@@ -158,7 +158,7 @@
   coordinator_.set_on_committed([this] { holder_.OnMapChanged(); });
   coordinator_.set_report_source([this](sharding::LoadReport* report) {
     const Instant now = loop_.Now();
-    holder_.meter().Roll(now - load_rolled_at_);
+    holder_.meter().EndPeriod(now - load_rolled_at_);
     load_rolled_at_ = now;
     holder_.meter().Fill(report);
     report->service_seconds = std::chrono::duration<double>(gate_.ServiceTime()).count();
@@ -558,13 +558,14 @@
 
 Instant Sidecar::AuthorityUntil() const {
   // Until the map is carried over into the present era, the lease of the former one backs it.
-  if (!shard_store_.OfPresentEra()) return lease_.ValidUntilIn(shard_store_.era());
+  if (!shard_store_.IsOfCurrentEra()) return lease_.ValidUntilIn(shard_store_.era());
   if (confirmed_lease_ == 0 || confirmed_lease_ != lease_.lease()) return Instant{};
   return lease_.ValidUntil();
 }
 
 std::vector<sharding::WorkerId> Sidecar::ChooseSuccessors(size_t shard_count) {
-  return SpreadOver(shard_store_.map(), coordinator_.MakeInput(), settings_.node_name, shard_count);
+  return ChooseReceivers(shard_store_.map(), coordinator_.MakeInput(), settings_.node_name,
+                         shard_count);
 }
 
 sharding::WorkerId Sidecar::WorkerOf(const std::string& node) {
--- a/tests/sharding/shard_map_test.cc
+++ b/tests/sharding/shard_map_test.cc
@@ -52,17 +52,17 @@
   ShardMap split = TwoShards();
   split.Split(40);
   split.shards()[1].move_to_node = "n2";
-  CHECK(split.Keeps(shard));
+  CHECK(split.KeepsAssignment(shard));
   ShardMap given_up = split;
   given_up.shards()[1].owner.worker.clear();
-  CHECK_FALSE(given_up.Keeps(shard));
+  CHECK_FALSE(given_up.KeepsAssignment(shard));
   ShardMap renewed = split;
   renewed.shards()[0].token = 5;
-  CHECK_FALSE(renewed.Keeps(shard));
+  CHECK_FALSE(renewed.KeepsAssignment(shard));
   // What happens to the keys of others does not matter.
   ShardMap others = TwoShards();
   others.shards()[1].owner.worker.clear();
-  CHECK(others.Keeps(shard));
+  CHECK(others.KeepsAssignment(shard));
 }
 
 TEST(ShardMap, TokensRise) {
--- a/tests/sharding/shard_planner_test.cc
+++ b/tests/sharding/shard_planner_test.cc
@@ -46,7 +46,7 @@
 }
 
 // Carries out the moves that a plan marked.
-ShardMap Moved(ShardMap map) {
+ShardMap ApplyMoves(ShardMap map) {
   const FencingToken token = map.NextToken();
   for (Shard& shard : map.shards()) {
     if (shard.move_to_node.empty()) continue;
@@ -86,7 +86,7 @@
   input.departed_nodes.insert("n0");
   const Plan plan = PlanRepair(first.map, input, config);
   CHECK(plan.changed);
-  CHECK_EQUAL(1, plan.relies_on_absence.count("n0"));
+  CHECK_EQUAL(1, plan.nodes_assumed_absent.count("n0"));
   for (size_t index = 0; index < plan.map.shards().size(); ++index) {
     const Shard& before = first.map.shards()[index];
     const Shard& after = plan.map.shards()[index];
@@ -113,7 +113,7 @@
   shard.handover = "h";
   const Plan plan = PlanRepair(first.map, Fleet(4), config);
   CHECK(plan.changed);
-  CHECK(plan.relies_on_absence.empty());
+  CHECK(plan.nodes_assumed_absent.empty());
   CHECK_FALSE(plan.map.shards()[3].owner.worker.empty());
   STRCMP_EQUAL("h", plan.map.shards()[3].handover.c_str());
 }
@@ -141,7 +141,7 @@
     Measure(map, rates, &input);
     const Plan plan = PlanBalance(map, input, config);
     if (!plan.changed) break;
-    map = Moved(plan.map);
+    map = ApplyMoves(plan.map);
   }
   Measure(map, rates, &input);
   double most = 0;
@@ -228,7 +228,7 @@
   };
   for (int round = 0; round < 2; ++round) {
     measure();
-    map = Moved(PlanBalance(map, input, config).map);
+    map = ApplyMoves(PlanBalance(map, input, config).map);
   }
   measure();
   for (const auto& [node, report] : input.loads) {
@@ -244,7 +244,7 @@
   input.workers[2].accepting = false;
   const Plan plan = PlanRepair(map, input, config);
   CHECK(plan.changed);
-  CHECK(plan.relies_on_absence.empty());
+  CHECK(plan.nodes_assumed_absent.empty());
   for (size_t index = 0; index < map.shards().size(); ++index) {
     const Shard& before = map.shards()[index];
     const Shard& after = plan.map.shards()[index];
@@ -292,7 +292,7 @@
           }
           Measure(map, rates, &input);
           const Plan balance = PlanBalance(map, input, config);
-          if (balance.changed) map = Moved(balance.map);
+          if (balance.changed) map = ApplyMoves(balance.map);
         }
       }
       const Plan plan = PlanRepair(map, input, config);
@@ -312,7 +312,7 @@
 TEST(ShardPlanner, AReportSurvivesItsWayAndBrokenOnesAreRefused) {
   KeyLoadMeter meter;
   for (int count = 0; count < 100; ++count) meter.OnRequest(33);
-  meter.Roll(std::chrono::seconds(1));
+  meter.EndPeriod(std::chrono::seconds(1));
   LoadReport report;
   report.node = "n";
   report.service = "s";
--- a/tests/sidecar/shard_map_key_test.cc
+++ b/tests/sidecar/shard_map_key_test.cc
@@ -39,6 +39,6 @@
   CHECK_FALSE(known.OlderThan({"keyed", 1}, MakeRevision(2, 38)));
   const ShardMapVersion none;
   CHECK(none.OlderThan({"keyed", 1}, MakeRevision(2, 38)));
-  CHECK_FALSE(known.FromCopy());
-  CHECK((ShardMapVersion{1, MakeRevision(2, 38)}.FromCopy()));
+  CHECK_FALSE(known.FromRestoredStore());
+  CHECK((ShardMapVersion{1, MakeRevision(2, 38)}.FromRestoredStore()));
 }
