--- a/source/sidecar/conflict_backoff.h
+++ b/source/sidecar/conflict_backoff.h
@@ -15,11 +15,11 @@
 // Deterministic given the random source; not thread-safe.
 class ConflictBackoff {
  public:
-  // Until the next try. `gives_way`: somebody else is about to make the same change for many nodes
-  // at once, and needs a moment without others.
-  Duration Wait(Random& random, bool gives_way) const;
+  // Until the next try. `defers_to_planner`: somebody else is about to make the same change for
+  // many nodes at once, and needs a moment without others.
+  Duration Wait(Random& random, bool defers_to_planner) const;
   void OnConflict() { ++conflicts_; }
-  void OnOther() { conflicts_ = 0; }
+  void ResetConflicts() { conflicts_ = 0; }
   int conflicts() const { return conflicts_; }
 
  private:
--- a/source/sidecar/shard_coordinator.cc
+++ b/source/sidecar/shard_coordinator.cc
@@ -10,7 +10,7 @@
 // Reports older than this are not used.
 constexpr Duration kReportLifetime = std::chrono::seconds(5);
 // After a conflict, before the planner waits for its next turn.
-constexpr int kTriesAtOnce = 6;
+constexpr int kMaxImmediateReplans = 6;
 constexpr Duration kReplanDelay = std::chrono::milliseconds(1);
 // Nodes that get the reports: the one that balances, and the one that would follow it.
 constexpr size_t kReportReceivers = 2;
@@ -215,7 +215,7 @@
 void ShardCoordinator::OnOutcome(ShardStore::Outcome outcome) {
   const bool conflict = outcome == ShardStore::Outcome::kConflict;
   conflicts_ = conflict ? conflicts_ + 1 : 0;
-  if (conflict && conflicts_ <= kTriesAtOnce && active_) timer_.Start(kReplanDelay);
+  if (conflict && conflicts_ <= kMaxImmediateReplans && active_) timer_.Start(kReplanDelay);
 }
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/shard_holder_commits.cc
+++ b/source/sidecar/shard_holder_commits.cc
@@ -39,7 +39,7 @@
                     if (outcome == ShardStore::Outcome::kConflict) {
                       backoff_.OnConflict();
                     } else {
-                      backoff_.OnOther();
+                      backoff_.ResetConflicts();
                     }
                     if (outcome == ShardStore::Outcome::kUnknown) commit_timer_.Start(kCommitRetry);
                     Reconcile();
--- a/tests/sidecar/conflict_backoff_test.cc
+++ b/tests/sidecar/conflict_backoff_test.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Duration kWay = std::chrono::milliseconds(4);
+constexpr Duration kOneWayLatency = std::chrono::milliseconds(4);
 
 struct Contention {
   struct Event {
@@ -39,11 +39,11 @@
   void Try(size_t index) {
     ++tries;
     const uint64_t expected = writers[index].known;
-    At(kWay, [this, index, expected] {
+    At(kOneWayLatency, [this, index, expected] {
       const bool committed = expected == revision;
       if (committed) ++revision;
       const uint64_t found = revision;
-      At(kWay, [this, index, committed, found] { OnAnswer(index, committed, found); });
+      At(kOneWayLatency, [this, index, committed, found] { OnAnswer(index, committed, found); });
     });
   }
 
@@ -53,7 +53,7 @@
     writer.known = found;
     if (committed) return;
     writer.backoff.OnConflict();
-    At(writer.backoff.Wait(random, /*gives_way=*/false), [this, index] { Try(index); });
+    At(writer.backoff.Wait(random, /*defers_to_planner=*/false), [this, index] { Try(index); });
   }
 
   // Returns how long it takes until all of `count` writers that begin together are done.
@@ -100,6 +100,6 @@
   backoff.OnConflict();
   CHECK(backoff.Wait(random, true) >= std::chrono::milliseconds(400));
   CHECK(backoff.Wait(random, false) <= std::chrono::milliseconds(45));
-  backoff.OnOther();
+  backoff.ResetConflicts();
   CHECK(backoff.Wait(random, false) <= std::chrono::milliseconds(5));
 }
