--- a/tests/platform_adapter/heartbeat_grants_test.cc
+++ b/tests/platform_adapter/heartbeat_grants_test.cc
@@ -89,7 +89,7 @@
   CHECK_EQUAL(199, lease.keys.front().last);
 }
 
-TEST(HeartbeatGrants, AMovingShardIsLetGoOnlyOnceALaterHeartbeatLacksIt) {
+TEST(HeartbeatGrants, AMovingShardIsReleasedOnlyOnceALaterHeartbeatOmitsIt) {
   HeldShard* held = Add(0, 99, 3);
   Lease(Next());
   const WorkerHeartbeat told = Next({{0, 99, 3}});
@@ -105,7 +105,7 @@
   STRCMP_EQUAL("h7", held->handover.c_str());
 }
 
-TEST(HeartbeatGrants, AnAnswerThatWasLostIsGivenAgain) {
+TEST(HeartbeatGrants, ALostAnswerIsRepeated) {
   HeldShard* held = Add(0, 99, 3);
   Lease(Next());
   CHECK_FALSE(grants.OnReport(Next(), &shards));
@@ -128,7 +128,7 @@
   CHECK_EQUAL(900, grants.highest_token_seen());
 }
 
-TEST(HeartbeatGrants, WhatAnotherWorkerReportsTouchesNothing) {
+TEST(HeartbeatGrants, ReportsOfAnotherWorkerChangeNothing) {
   HeldShard* held = Add(0, 99, 3);
   Lease(Next(), AlwaysMoves);
   WorkerHeartbeat other = Next();
@@ -139,7 +139,7 @@
 }
 
 // Rows that are not there yet wait; rows that the worker holds are never dropped for them.
-TEST(HeartbeatGrants, AnAnswerNeverExceedsItsBound) {
+TEST(HeartbeatGrants, AnAnswerNeverExceedsItsSizeLimit) {
   std::vector<HeldKeys> held_rows;
   for (uint32_t index = 0; index < 100; ++index) {
     Add(index * 100, index * 100 + 9, 1000 + index);
--- a/tests/sharding/shard_map_test.cc
+++ b/tests/sharding/shard_map_test.cc
@@ -89,7 +89,7 @@
   CHECK(ShardMap::Parse(map.Serialize())->shards() == map.shards());
 }
 
-TEST(ShardMap, WhatDoesNotCoverAllKeysOnceIsRefused) {
+TEST(ShardMap, AMapThatDoesNotCoverAllKeysOnceIsRejected) {
   for (const char* broken :
        {"", "[]", "{}", "{\"last_token\":1}",
         R"({"last_token":4,"owners":[["n","w"]],"shards":[[0,65534,0,1,"",""]]})",
--- a/tests/sharding/shard_planner_test.cc
+++ b/tests/sharding/shard_planner_test.cc
@@ -261,7 +261,7 @@
 
 // Whatever happens to the fleet, each change leaves one owner for each key, and a key that changes
 // hands gets a token above all that were ever drawn.
-TEST(ShardPlanner, EveryPlanKeepsTheMapWhole) {
+TEST(ShardPlanner, EveryPlanYieldsAValidMap) {
   const bool held = rc::check([this] {
     PlannerInput input = Fleet(*rc::gen::inRange<size_t>(1, 6));
     ShardMap map = PlanRepair({}, input, config).map;
@@ -309,7 +309,7 @@
   CHECK(held);
 }
 
-TEST(ShardPlanner, AReportSurvivesItsWayAndBrokenOnesAreRefused) {
+TEST(ShardPlanner, AReportRoundTripsAndMalformedReportsAreRejected) {
   KeyLoadMeter meter;
   for (int count = 0; count < 100; ++count) meter.OnRequest(33);
   meter.EndPeriod(std::chrono::seconds(1));
--- a/tests/sidecar/conflict_backoff_test.cc
+++ b/tests/sidecar/conflict_backoff_test.cc
@@ -78,7 +78,7 @@
 
 TEST_GROUP(ConflictBackoff){};
 
-TEST(ConflictBackoff, NinetyThreeNodesAreDoneSoonAndWithFewTries) {
+TEST(ConflictBackoff, NinetyThreeNodesFinishWithinTimeAndTryLimits) {
   Contention contention;
   const Duration time = contention.Run(93);
   CHECK_EQUAL(93, contention.revision);
@@ -86,13 +86,13 @@
   CHECK(contention.tries < 800);
 }
 
-TEST(ConflictBackoff, ASingleWriterWaitsForNobody) {
+TEST(ConflictBackoff, ASingleWriterNeedsOneTry) {
   Contention contention;
   contention.Run(1);
   CHECK_EQUAL(1, contention.tries);
 }
 
-TEST(ConflictBackoff, ATryFollowsAConflictAtOnceAndTheNextOneWaits) {
+TEST(ConflictBackoff, TheFirstConflictIsRetriedAtOnceAndTheSecondAfterAWait) {
   SeededRandom random{5};
   ConflictBackoff backoff;
   backoff.OnConflict();
--- a/tests/sidecar/shard_map_key_test.cc
+++ b/tests/sidecar/shard_map_key_test.cc
@@ -8,7 +8,7 @@
 
 TEST_GROUP(ShardMapKeys){};
 
-TEST(ShardMapKeys, AKeySurvivesItsWay) {
+TEST(ShardMapKeys, ParsingReversesToString) {
   for (const ShardMapKey& key : {ShardMapKey{"keyed", 0}, ShardMapKey{"keyed", 17}}) {
     const auto parsed = ShardMapKey::Parse(key.ToString());
     CHECK(parsed.has_value());
@@ -17,7 +17,7 @@
   }
 }
 
-TEST(ShardMapKeys, OtherKeysAreNone) {
+TEST(ShardMapKeys, InvalidKeysAreRejected) {
   for (const char* key : {"runshelf/nodes/n0", "runshelf/shards/", "runshelf/shards/keyed/",
                           "runshelf/shards/keyed/x", "runshelf/shards/keyed/0",
                           "runshelf/shards//3", "runshelf/shards/keyed/3/4"}) {
@@ -34,7 +34,7 @@
 }
 
 // A restored map was taken for a newer one, and a move that had been done was made again.
-TEST(ShardMapKeys, WhatTheCopyHoldsOfAFormerErasMapIsNotNewer) {
+TEST(ShardMapKeys, ARestoredCopyOfAFormerErasMapIsNotNewer) {
   const ShardMapVersion known{1, MakeRevision(1, 40)};
   CHECK_FALSE(known.OlderThan({"keyed", 1}, MakeRevision(2, 38)));
   const ShardMapVersion none;
