--- a/source/sidecar/worker_monitor.cc
+++ b/source/sidecar/worker_monitor.cc
@@ -14,22 +14,23 @@
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(700);
 constexpr Duration kDrainRetry = std::chrono::milliseconds(500);
 constexpr Duration kSilenceCheckInterval = std::chrono::milliseconds(500);
-// Heartbeats that may be missed before a worker that does not answer counts as silent.
+// Heartbeat intervals without a heartbeat or response after which a worker counts as silent.
 constexpr double kSilentIntervals = 2.5;
-// Probes in a row that must fail: at once when nothing listens at the address, else for silence.
+// Consecutive failed probes before the worker is declared dead: when connections are refused, and
+// when the worker is silent.
 constexpr uint32_t kMinRefusedProbes = 3;
 constexpr uint32_t kMinSilentProbes = 2;
-// The longest that the answer to a heartbeat waits: a worker takes none after a second, and the
-// heartbeat itself was some time on its way.
+// Longest delay of the response to a heartbeat. A worker ignores a response after 1 s, part of
+// which the heartbeat itself spends in transit.
 constexpr Duration kMaxDeferral = std::chrono::milliseconds(600);
-// A heartbeat may arrive this much later than it was sent, when a link or this process stood still,
-// and when its worker has ended already. A worker that answers no health check is known by it
-// alone.
+// A heartbeat may arrive this long after it was sent, when a link or this process was stalled, and
+// its worker may have ended in the meantime. For a worker that answers no health check, heartbeats
+// are the only sign of life.
 constexpr Duration kHeartbeatLateness = std::chrono::seconds(2);
-// How often a waiting answer is looked at again.
+// How often a deferred response is checked.
 constexpr Duration kDeferralPoll = std::chrono::milliseconds(20);
-// A connection that is open, and brought something so lately, tells that the worker runs. Grants,
-// each renewed once a second, keep one that lively at an idle worker.
+// An open connection that received data within this time shows that the worker is running. Each
+// grant is renewed once a second, which provides such traffic even when the worker is idle.
 constexpr Duration kLiveConnectionAge = std::chrono::milliseconds(1200);
 
 }  // namespace
@@ -105,8 +106,8 @@
   exchange->Respond(kOk, headers, wire_.EncodeAcknowledgement(lease));
 }
 
-// Only the answer to the newest heartbeat says what the worker is to hold: one that comes late, or
-// twice, tells of keys that may have moved since.
+// Only the response to the newest heartbeat contains a lease: the lease for a late or duplicated
+// heartbeat could list keys that have moved since.
 void WorkerMonitor::AcknowledgeHeartbeat(const http::ExchangePtr& exchange,
                                          const WorkerHeartbeat& heartbeat) {
   if (IsNewest(heartbeat) && answered_at_ == Instant{}) answered_at_ = loop_.Now();
@@ -121,7 +122,7 @@
 
 void WorkerMonitor::Defer(const http::ExchangePtr& exchange, const WorkerHeartbeat& heartbeat,
                           bool processed) {
-  // A worker that sends another heartbeat waits for the former answer no more.
+  // A worker that sends another heartbeat no longer waits for the previous response.
   if (deferred_.has_value()) AnswerDeferred();
   deferred_ = DeferredHeartbeat{exchange, heartbeat, processed};
   deferred_timer_.Start(kDeferralPoll);
@@ -155,13 +156,13 @@
 void WorkerMonitor::OnHeartbeat(const http::ExchangePtr& exchange,
                                 const WorkerHeartbeat& heartbeat) {
   if (!synchronized_) {
-    // Whether this worker is leaving is not known yet.
+    // It is not known yet whether this worker is leaving.
     Defer(exchange, heartbeat, /*processed=*/false);
     return;
   }
   if (Resolve(heartbeat.worker_id) != heartbeat.worker_id) {
     log_.Write(LogLevel::kWarning, "worker_notice_refused",
-               {{"reason", std::string("the worker's incarnation is missing")}});
+               {{"reason", std::string("the worker id lacks its incarnation")}});
     exchange->Respond(kBadRequest, {}, "");
     return;
   }
@@ -177,7 +178,8 @@
   for (auto& [worker_id, former] : former_workers_) former.heard_at = Instant{};
   if (heartbeat.sequence > sequence_) {
     Confirm(loop_.Now() - kHeartbeatLateness);
-    // A worker sends one heartbeat at a time: this one was sent after the former was answered.
+    // A worker sends one heartbeat at a time, so this one was sent after the previous one was
+    // answered.
     ConfirmIncarnation(answered_at_);
     sequence_ = heartbeat.sequence;
     answered_at_ = Instant{};
@@ -219,9 +221,9 @@
   return same ? worker_id_ : worker_id;
 }
 
-// What a worker sent before it ended may come seconds late, after the next one was heard. But if
-// the one that was taken for the former is heard twice, a heartbeat interval apart, and the present
-// one not at all meanwhile, then it was the message of the present one that came late.
+// A message that a worker sent before it ended may arrive seconds late, after its successor was
+// heard. But if the worker taken for the former one is heard twice, a heartbeat interval apart, and
+// the supposed successor not at all in between, then it was the latter's message that came late.
 bool WorkerMonitor::IsOfFormerWorker(const WorkerHeartbeat& heartbeat) {
   auto found = former_workers_.find(heartbeat.worker_id);
   if (found == former_workers_.end()) {
@@ -267,7 +269,7 @@
   observer_.on_changed(replaced);
 }
 
-// An incarnation that is not told yet may be the one that leaves.
+// While the worker's incarnation is not known, it may be the one named by the drain record.
 bool WorkerMonitor::RecordedDraining() const {
   if (worker_id_.empty() || recorded_drain_.empty()) return false;
   return recorded_drain_ == worker_id_ ||
@@ -275,7 +277,7 @@
 }
 
 bool WorkerMonitor::RunsNow() const {
-  // A worker whose incarnations state different identities is known by these.
+  // Incarnations that state different identities are told apart by the identity alone.
   if (!HasIncarnationId()) return true;
   const Instant heard_from = loop_.Now() - kLiveConnectionAge;
   return pool_.HasLiveConnection(settings_.worker, incarnation_proven_at_, heard_from) ||
@@ -331,8 +333,8 @@
   observer_.on_changed(false);
 }
 
-// Calls `acknowledge` once the store knows that the worker leaves; else the worker is told to try
-// again.
+// Calls `acknowledge` once the store has recorded that the worker leaves; if that fails, responds
+// with 503 so that the worker retries.
 void WorkerMonitor::RecordDrain(const http::ExchangePtr& exchange, const std::string& worker_id,
                                 std::function<void()> acknowledge) {
   MarkDraining();
@@ -369,7 +371,7 @@
       callback(true);
       return;
     }
-    // Another write came first, perhaps this one's lost twin.
+    // Another write came first, perhaps an earlier attempt of this one whose response was lost.
     drain_revision_ = 0;
     recorded_drain_.clear();
     for (const store::Item& item : result->found) OnDrainRecord(item.value, item.revision);
@@ -381,7 +383,7 @@
   if (draining_ && recorded_drain_ == worker_id_) WriteDrainAgain(worker_id_);
 }
 
-// The store may be away again.
+// Retries until the record is written, as the store may be unreachable again.
 void WorkerMonitor::WriteDrainAgain(const std::string& worker_id) {
   if (worker_id != worker_id_) return;
   recorded_drain_.clear();
@@ -400,8 +402,8 @@
 void WorkerMonitor::OnWorkerAnswered(Instant sent, Instant connection_made) {
   NoteAnswer();
   Confirm(sent);
-  // The process at the other end is the one that was there when the connection was made, and the
-  // incarnation was at its address since: so it was when this was sent.
+  // The process at the other end is the one that was there when the connection was made. If this
+  // incarnation was proven at or after that time, it was also there when this request was sent.
   if (connection_made <= incarnation_proven_at_) ConfirmIncarnation(sent);
 }
 
@@ -426,10 +428,10 @@
   if (probe_ != nullptr || health_path_.empty()) return;
   http::Request request = wire_.EncodeHealthCheck(health_path_);
   request.head.headers.Set("Host", settings_.worker.ToString());
-  // Who answers is told by the process at the other end of the connection, whichever health check
-  // it answers.
+  // A response identifies the process at the other end of the connection, whichever health check it
+  // belongs to.
   http::CallOptions options(http::AnswerMatch::Lane("health-check"), "health_check");
-  // Longer than the whole probe: only a refused connection counts as "not sent".
+  // Longer than the whole probe, so that only a refused connection counts as "not sent".
   options.connect_timeout = 2 * kProbeTimeout;
   probe_sent_at_ = loop_.Now();
   probe_ = std::make_unique<http::SimpleCall>(
@@ -447,9 +449,10 @@
     OnProbeAnswer(*response, connection_made);
     return;
   }
-  // Nothing listens there. A worker at its limit of connections resets new ones, and one that
-  // closed its listening socket may still be at work or hold keys: they must not be given to others
-  // before its grants have run out.
+  // Only a refused connection, with no other connection open, shows that the worker ended. A worker
+  // at its connection limit resets new connections instead of refusing them, and one that closed its
+  // listening socket may still process requests or hold keys, which must not be granted to others
+  // before its grants have expired.
   const bool refused = failure == http::ClientFailure::kRefused && ConnectionsEnded();
   refused_probes_ = refused ? refused_probes_ + 1 : 0;
   ++failed_probes_;
@@ -467,8 +470,8 @@
   }
 }
 
-// The operating system closes all connections of a process that ends, at once. That none is open
-// tells nothing of a worker to which this process has had none.
+// The operating system closes all connections of a process immediately when it ends. If this
+// process never had a connection to the worker, the absence of open ones shows nothing.
 bool WorkerMonitor::ConnectionsEnded() const {
   if (pool_.HasOpenConnection(settings_.worker)) return false;
   if (order_pool_.HasOpenConnection(settings_.worker)) return false;
@@ -490,7 +493,7 @@
   } else if (named) {
     AdoptWorker(*id, probe_sent_at_, Source::kAddress);
   }
-  // A full worker refuses probes without a word of who it is.
+  // A worker at its capacity limit refuses probes without stating its identity.
   if (!worker_id_.empty() && !Confirmed()) probe_timer_.Start(kProbeInterval);
 }
 
@@ -512,7 +515,7 @@
               {"reason", std::string(reason)},
               {"failed_probes", failed_probes_},
               {"silence_ms", ToMilliseconds(loop_.Now() - heard_at_)}});
-  // It may come back under the same identity when it was merely silent.
+  // If the worker was merely silent, it may return under the same identity.
   worker_id_.clear();
   initial_search_ = false;
   draining_ = false;
--- a/source/sidecar/worker_monitor.h
+++ b/source/sidecar/worker_monitor.h
@@ -1,4 +1,4 @@
-// What this node believes of the worker beside it: identity, state, and whether it is alive.
+// Tracks the worker on this machine: its identity, its state and whether it is alive.
 #pragma once
 
 #include <functional>
@@ -21,59 +21,64 @@
 
 namespace runshelf::sidecar {
 
-// A worker's notice that it leaves binds every later life of this node, so it is written to the
-// store before it is acknowledged.
+// Handles the worker's heartbeats and leave notices, and probes its health check while it is not
+// heard. A leave notice also applies after a restart of this process, so it is written to the store
+// before it is acknowledged. Not thread-safe.
 class WorkerMonitor : public WorkerEvidence {
  public:
   struct Observer {
-    // Identity, state or slots changed, or none was found after a start; `former_gone`: the former
-    // worker certainly ended.
+    // The worker's identity, state or slots changed, or no worker was found after the start.
+    // `former_gone`: the former worker has certainly ended.
     std::function<void(bool former_gone)> on_changed;
-    std::function<void()> on_confirmed;  // The worker is known again to be the one at its address.
-    // A worker certainly ended; may be told more than once.
+    std::function<void()> on_confirmed;  // The worker at the address has been verified again.
+    // A worker has certainly ended; may be called more than once for the same worker.
     std::function<void(const std::string& worker_id)> on_ended;
     KeyLessor* lessor = nullptr;  // Must outlive the monitor.
   };
 
-  // `order_pool`: of the other connections to the worker.
+  // `pool` and `order_pool` hold the connections to the worker; `order_pool` those of grants and
+  // releases. All references must outlive the monitor.
   WorkerMonitor(event::EventLoop& loop, http::ConnectionPool& pool,
                 http::ConnectionPool& order_pool, store::StoreClient& store, const WireFormat& wire,
                 const Settings& settings, std::string drain_key, LogWriter& log, Observer observer);
   ~WorkerMonitor() override;
 
-  // The drain record of this node, as the store holds it; `synchronized` once it is known whether
-  // there is one.
+  // Called with the drain record of this node whenever the store delivers one.
   void OnDrainRecord(const std::string& worker_id, store::Revision revision);
+  // Called once the state has been read from the store, so that it is known whether there is a
+  // drain record.
   void OnSynchronized();
-  // The store came back from an older copy of its data, which may lack the drain record.
+  // The store was restored from an older copy of its data, which may lack the drain record.
   void OnStoreRestored();
-  // Health checks go to this path; none are made before it is known.
+  // Sets the path of health checks; none are sent before it is known.
   void SetHealthPath(const std::string& path);
 
-  // Answers a call of the worker.
+  // Handles and answers a heartbeat or leave notice of the worker.
   void HandleNotice(const http::ExchangePtr& exchange);
 
-  // Names the incarnation of the worker.
+  // Identity of the worker, with its incarnation if known; empty while no worker is known.
   const std::string& worker_id() const { return worker_id_; }
   uint32_t slots() const { return slots_; }
   WorkerState state() const;
   Instant cold_until() const { return cold_until_; }
-  // Since when the worker is known to be leaving. Instant{} when an earlier life of this process
-  // learnt it.
+  // Since when the worker is known to be leaving; Instant{} when an earlier run of this process
+  // learnt of it.
   Instant draining_since() const { return draining_since_; }
 
-  // What is known since the last doubt of the process at the worker's address.
+  // How far the process at the worker's address has been verified since the last invalidation.
   WorkerProof proof() const;
-  // Another process may be at the worker's address by now: it is asked who it is.
+  // Discards the verification, as another process may be at the worker's address by now, and probes
+  // its identity. `reason`: for the log.
   void InvalidateProof(const char* reason);
-  // Asks who is at the worker's address while that is not known.
+  // Probes the identity of the process at the worker's address unless it is verified.
   void ProbeIdentity();
-  // The worker's identity is known well enough to give it keys. Somebody at its address who stated
-  // it may be an incarnation that has not told its own yet.
+  // Whether the worker's identity is complete enough to grant it keys. An identity that was learnt
+  // from a health check may lack the incarnation, which only heartbeats and leave notices contain.
   bool IdentityIsComplete() const;
-  // Incarnations of the worker may state one identity, as far as is known.
+  // Whether the worker's id contains an incarnation besides the identity that it states in
+  // responses, so that several incarnations may state the same identity.
   bool HasIncarnationId() const { return wire_.StatedIdentity(worker_id_) != worker_id_; }
-  // The incarnation runs at this moment: a connection to it is open and alive.
+  // Whether the incarnation is running now, as shown by an open connection with recent traffic.
   bool RunsNow() const;
 
   void OnWorkerAnswered(Instant sent, Instant connection_made) override;
@@ -88,31 +93,33 @@
   void Acknowledge(const http::ExchangePtr& exchange, const std::optional<KeyLease>& lease);
   void AcknowledgeHeartbeat(const http::ExchangePtr& exchange, const WorkerHeartbeat& heartbeat);
   bool IsNewest(const WorkerHeartbeat& heartbeat) const;
-  // A former incarnation speaks, or a message of it came late.
+  // Whether the heartbeat comes from a former incarnation, or is a late message of one.
   bool IsOfFormerWorker(const WorkerHeartbeat& heartbeat);
-  // The identity with which a worker that does not tell its incarnation is known here.
+  // The full id of the current worker if `worker_id` is its identity without the incarnation, else
+  // `worker_id` itself.
   std::string Resolve(const std::string& worker_id) const;
-  // `worker_id` tells the incarnation of the present worker, which was not known.
+  // Whether `worker_id` adds the incarnation to the identity of the current worker.
   bool CompletesIdentity(const std::string& worker_id) const {
     return worker_id != worker_id_ && worker_id_ == wire_.StatedIdentity(worker_id);
   }
   bool RecordedDraining() const;
   bool Confirmed() const { return !worker_id_.empty() && confirmed_at_ > proof_invalidated_at_; }
-  // Keeps a heartbeat whose answer waits until more is known; at most one.
+  // Delays the response to a heartbeat until more is known. At most one response is delayed.
   void Defer(const http::ExchangePtr& exchange, const WorkerHeartbeat& heartbeat, bool processed);
   void ContinueDeferred();
-  // Answers the deferred heartbeat with what is known now.
+  // Answers the deferred heartbeat with the current state.
   void AnswerDeferred();
   void RecordDrain(const http::ExchangePtr& exchange, const std::string& worker_id,
                    std::function<void()> acknowledge);
   void WriteDrain(const std::string& worker_id, std::function<void(bool recorded)> callback);
   void WriteDrainAgain(const std::string& worker_id);
-  // How the identity of a worker became known.
+  // Where the identity of a worker was learnt.
   enum class Source {
-    kNotice,   // The worker told it.
-    kAddress,  // Whoever is at its address stated it; the incarnation may be missing.
+    kNotice,   // From a heartbeat or leave notice of the worker.
+    kAddress,  // From a response at the worker's address; the incarnation may be missing.
   };
-  // `alive_at`: when the worker certainly was at its address; Instant{}: never, so far.
+  // `alive_at`: a time at which the worker was certainly at its address; Instant{} if none is
+  // known.
   void AdoptWorker(const std::string& worker_id, Instant alive_at, Source source);
   void NoteAnswer();
   void Confirm(Instant alive_at);
@@ -123,7 +130,7 @@
   void OnProbe(const std::optional<http::Response>& response, http::ClientFailure failure,
                Instant connection_made);
   void OnProbeAnswer(const http::Response& response, Instant connection_made);
-  // The connections to the worker were closed by its side, and it has not been heard since.
+  // Whether the worker's side has closed all connections and the worker was not heard since.
   bool ConnectionsEnded() const;
   void CheckSilence();
 
@@ -141,16 +148,16 @@
   struct DeferredHeartbeat {
     http::ExchangePtr exchange;
     WorkerHeartbeat heartbeat;
-    bool processed = false;  // What it says was taken over; only the answer is missing.
+    bool processed = false;  // Its content has been applied; only the response is outstanding.
   };
   std::optional<DeferredHeartbeat> deferred_;
   event::Timer deferred_timer_;
   event::Timer drain_timer_;
   std::unique_ptr<http::SimpleCall> probe_;
   std::string health_path_;
-  std::string worker_id_;  // Empty while none is known to be alive.
-  // Incarnations that another one has replaced, with the latest heartbeat that came of each since
-  // the present one was heard last.
+  std::string worker_id_;  // Empty while no worker is known to be alive.
+  // Incarnations that have been replaced, each with its first heartbeat since the current
+  // incarnation was last heard.
   struct FormerWorker {
     Instant heard_at{};
     int64_t sequence = 0;
@@ -162,21 +169,21 @@
   bool draining_ = false;
   Instant draining_since_{};
   Instant cold_until_{};
-  Instant heard_at_{};                // The latest heartbeat or answer.
-  Source source_ = Source::kAddress;  // Of the identity.
+  Instant heard_at_{};                // Time of the latest heartbeat or response.
+  Source source_ = Source::kAddress;  // Where worker_id_ was learnt.
   Instant adopted_at_{};
-  Instant confirmed_at_{};           // Somebody stated the worker's identity.
-  Instant incarnation_proven_at_{};  // This incarnation was certainly the one at its address.
+  Instant confirmed_at_{};           // Latest time at which its identity was stated at its address.
+  Instant incarnation_proven_at_{};  // Latest time at which this incarnation was certainly there.
   Instant proof_invalidated_at_{};
   Instant probe_sent_at_{};
-  uint32_t failed_probes_ = 0;   // In a row.
-  uint32_t refused_probes_ = 0;  // The latest of those: nothing listens there, nothing is open.
-  std::string recorded_drain_;   // Worker named by the drain record in the store.
+  uint32_t failed_probes_ = 0;   // Consecutive.
+  uint32_t refused_probes_ = 0;  // Consecutive: connection refused and no connection open.
+  std::string recorded_drain_;   // Worker id in the drain record in the store.
   store::Revision drain_revision_ = 0;
   uint64_t unstamped_successes_ = 0;
   bool synchronized_ = false;
-  bool initial_search_ =
-      true;  // Since the start of the process no worker was found, nor its absence.
+  // Whether this process has neither found a worker since its start nor established its absence.
+  bool initial_search_ = true;
 };
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/worker_proof.h
+++ b/source/sidecar/worker_proof.h
@@ -1,12 +1,12 @@
-// What is known of the process at a worker's address.
+// How far the process at a worker's address has been verified to be that worker.
 #pragma once
 
 namespace runshelf::sidecar {
 
 enum class WorkerProof {
-  kNone,         // Any process may be there.
-  kIdentity,     // One that states the worker's identity: this incarnation, or another one.
-  kIncarnation,  // This incarnation of the worker.
+  kNone,         // Not verified: any process may be there.
+  kIdentity,     // The process states the worker's identity, but may be another incarnation of it.
+  kIncarnation,  // The process is this incarnation of the worker.
 };
 
 }  // namespace runshelf::sidecar
