--- a/source/sidecar/shard_coordinator.cc
+++ b/source/sidecar/shard_coordinator.cc
@@ -7,12 +7,13 @@
 namespace {
 
 constexpr Duration kReportInterval = std::chrono::seconds(1);
-// Reports older than this are not used.
+// Load reports older than this are ignored.
 constexpr Duration kReportLifetime = std::chrono::seconds(5);
-// After a conflict, before the planner waits for its next turn.
+// Consecutive conflicts that are each followed by an immediate new plan; after that the planner
+// waits for its next tick.
 constexpr int kMaxImmediateReplans = 6;
 constexpr Duration kReplanDelay = std::chrono::milliseconds(1);
-// Nodes that get the reports: the one that balances, and the one that would follow it.
+// Number of nodes that receive load reports: the one that balances and its potential successor.
 constexpr size_t kReportReceivers = 2;
 
 }  // namespace
@@ -73,7 +74,7 @@
   }
   for (const sharding::Shard& shard : shards_.map().shards()) {
     const std::string& node = shard.owner.node;
-    // An unknown node's item went before this node started to watch.
+    // The item of a node that was never seen was removed before this node started to watch.
     const bool never_seen =
         peers_.Find(node) == nullptr && now - active_since_ > config_.settle_time;
     if (never_seen || peers_.Departed(now, node, departure_wait)) {
@@ -155,7 +156,7 @@
   return now - since >= config_.rank_delay * static_cast<int64_t>(Rank());
 }
 
-// One node is enough: the others have seen its item when their turn comes.
+// One node suffices: the others see its store item before their turn comes.
 void ShardCoordinator::MeasureFormerGrants() {
   const bool keys_wait = shards_.MustBeCarriedOver() || shards_.map().HasCarriedOver();
   if (keys_wait && IsDue(shards_.era_since(), loop_.Now())) former_grants_.Measure();
@@ -211,7 +212,8 @@
   });
 }
 
-// The conflict brought the map as it is: a plan made from it at once is likely to come in time.
+// The conflict response carried the current map, so that a plan based on it is likely to succeed if
+// it is made immediately.
 void ShardCoordinator::OnOutcome(ShardStore::Outcome outcome) {
   const bool conflict = outcome == ShardStore::Outcome::kConflict;
   conflicts_ = conflict ? conflicts_ + 1 : 0;
--- a/source/sidecar/shard_coordinator.h
+++ b/source/sidecar/shard_coordinator.h
@@ -1,7 +1,7 @@
-// Runs the planner of shard maps on the nodes beside the workers of a sharded service.
+// Runs the shard planner on the nodes of a sharded service.
 //
-// Any of them may repair the map; the first by name also balances load. Compare-and-swap in the
-// store decides between nodes that plan at the same time.
+// Any node may repair the map; the first one by name also balances the load. Compare-and-swap in
+// the store decides between nodes that plan at the same time.
 #pragma once
 
 #include <functional>
@@ -20,42 +20,48 @@
 
 namespace runshelf::sidecar {
 
+// Settings of a ShardCoordinator.
 struct ShardCoordinatorConfig {
   std::string node;
   std::string service;
-  std::string node_key_prefix;  // Of the items that announce nodes.
+  std::string node_key_prefix;  // Key prefix of the store items that announce nodes.
   std::string ip_address;
-  uint16_t report_port = 0;  // The same on all nodes; zero: no reports.
-  // Before the first assignment, so that it covers the workers that start together.
+  uint16_t report_port = 0;  // UDP port for load reports, the same on all nodes; zero: no reports.
+  // Wait before the first assignment, so that it includes all workers that start together.
   Duration settle_time = std::chrono::milliseconds(2500);
-  // How long a node's item must be gone before its shards are taken.
+  // How long a node's item must be absent before its shards are reassigned.
   Duration departure_wait = std::chrono::milliseconds(300);
-  // The same after the store came back from an older copy: nodes write their items again.
+  // The same after the store was restored from an older copy, as nodes have to rewrite their items.
   Duration departure_wait_restored = std::chrono::milliseconds(2500);
-  // A node that knows the map from the store's copy only waits for those that know it from before.
+  // Wait before a node carries over a map that it has only from the restored copy, so that nodes
+  // that know the map from before the restore come first.
   Duration carry_over_wait = std::chrono::seconds(3);
-  // This is the first start of the whole fleet: there are no grants from before.
+  // Whether this is the first start of the whole fleet, so that no earlier grants exist.
   bool first_start = false;
-  // Each further node by name waits this much longer before it repairs the map.
+  // Additional wait per rank, by node name, before a node repairs the map.
   Duration rank_delay = std::chrono::milliseconds(500);
   Duration tick_interval = std::chrono::milliseconds(250);
   Duration balance_interval = std::chrono::seconds(1);
   sharding::PlannerConfig planner;
 };
 
+// Plans changes of one service's shard map on this node and exchanges load reports with the other
+// nodes. Not thread-safe. All references must outlive the coordinator.
 class ShardCoordinator {
  public:
   ShardCoordinator(event::EventLoop& loop, PeerDirectory& peers, ShardStore& shards,
                    FormerGrants& former_grants, LogWriter& log, ShardCoordinatorConfig config);
 
-  // Starts or stops planning; `on_committed` is called after the map was changed from here.
+  // Starts or stops planning.
   void SetActive(bool active);
+  // Sets the function to call after each attempt of this node to change the map.
   void set_on_committed(std::function<void()> callback) { on_committed_ = std::move(callback); }
-  // Fills in what this node measured of its own worker.
+  // Sets the function that fills a report with the load measured at this node's own worker.
   void set_report_source(std::function<void(sharding::LoadReport*)> source) {
     report_source_ = std::move(source);
   }
 
+  // The planner's input according to the currently known nodes, map and load reports.
   sharding::PlannerInput MakeInput() const;
 
  private:
@@ -63,15 +69,16 @@
   void SendReport();
   void OnReport(std::string_view data);
   void Repair();
-  // Makes the map that is known here the one of the present era of the store.
+  // Carries the map that is known here over into the current era of the store.
   void CarryOver();
-  // What has been due since then is this node's to do: those before it had the time.
+  // Whether it is this node's turn to act on a condition that has held since `since`: the nodes of
+  // lower rank have had their time.
   bool IsDue(Instant since, Instant now) const;
   void MeasureFormerGrants();
   void Balance();
   void Commit(const sharding::Plan& plan);
   void OnOutcome(ShardStore::Outcome outcome);
-  // Place of this node among those of the service that accept work, by name.
+  // Zero-based position of this node, by name, among the service's nodes that accept work.
   size_t Rank() const;
 
   event::EventLoop& loop_;
@@ -90,8 +97,8 @@
   Instant repair_needed_since_{};
   Instant balanced_at_{};
   Instant report_sent_at_{};
-  std::string balance_reason_;  // Of the latest look at the balance.
-  int conflicts_ = 0;           // Plans in a row that another node's change came before.
+  std::string balance_reason_;  // Outcome of the latest balance check.
+  int conflicts_ = 0;           // Consecutive plans that failed because another change came first.
   bool active_ = false;
   bool bound_ = false;
 };
--- a/source/sidecar/shard_directory.h
+++ b/source/sidecar/shard_directory.h
@@ -1,4 +1,4 @@
-// The shard maps of all sharded services, for finding the owner of a key.
+// Shard maps of all sharded services, used to look up the owner of a key.
 #pragma once
 
 #include <map>
@@ -10,10 +10,11 @@
 
 namespace runshelf::sidecar {
 
+// Not thread-safe.
 class ShardDirectory {
  public:
-  // Takes over the map of a service when it is newer than the one known. Returns false when the
-  // item is newer and no map: the one known holds on.
+  // Stores the map of a service if it is newer than the known one. Returns false when the item is
+  // newer but not a valid map; the known map stays in use then.
   bool OnItem(const ShardMapKey& key, const store::Item& item) {
     Entry& entry = entries_[key.service];
     if (!entry.version.OlderThan(key, item.revision)) return true;
@@ -24,12 +25,13 @@
     return true;
   }
 
-  // The shard of a key; nullptr while the service has no map.
+  // Returns the shard that contains `key`, or nullptr while the service has no map.
   const sharding::Shard* Find(const std::string& service, sharding::ShardKey key) const {
     const auto found = entries_.find(service);
     return found == entries_.end() ? nullptr : found->second.map.Find(key);
   }
 
+  // Revision of the service's map; zero while it has none.
   store::Revision RevisionOf(const std::string& service) const {
     const auto found = entries_.find(service);
     return found == entries_.end() ? 0 : found->second.version.revision;
--- a/source/sidecar/shard_map_key.h
+++ b/source/sidecar/shard_map_key.h
@@ -1,4 +1,4 @@
-// Under which key the shard map of a service lies in the store, and which of two copies is newer.
+// Store keys of shard maps, and the order of a shard map's versions.
 #pragma once
 
 #include <optional>
@@ -8,26 +8,27 @@
 
 namespace runshelf::sidecar {
 
-// Each era of the store has an item of its own for the map: a change that was sent in a former era,
-// and is done late, finds another item than the one in use, whatever revisions are given out again.
+// Key of a service's shard map. Each era of the store has its own item for the map, so that a
+// change that was sent in an earlier era and is executed late cannot modify the current map, even
+// if the store reuses revision numbers.
 struct ShardMapKey {
   std::string service;
   store::StoreEra era = 0;
 
   std::string ToString() const;
-  // nullopt when `key` is not one of a shard map.
+  // Returns nullopt when `key` is not the key of a shard map.
   static std::optional<ShardMapKey> Parse(const std::string& key);
 };
 
-// Names one state of a shard map.
+// Identifies one version of a shard map.
 struct ShardMapVersion {
-  store::StoreEra era = 0;       // The map was made for this era of the store.
+  store::StoreEra era = 0;       // Era of the store that the map was created for.
   store::Revision revision = 0;  // Zero: there is no map.
 
-  // Whether the map at `key` with `item_revision` is to be used in place of this one. What the
-  // store kept of a former era's map is no newer than what was known of it while that era lasted.
+  // Whether the map at `key` with `item_revision` replaces this one. An earlier era's map that is
+  // read back from a restored store is never newer than what was known of it during that era.
   bool OlderThan(const ShardMapKey& key, store::Revision item_revision) const;
-  // The map went back to an older state together with the store.
+  // The map was read from the older copy of its data that the store was restored from.
   bool FromRestoredStore() const { return store::EraOf(revision) > era; }
 };
 
--- a/source/sidecar/shard_store.cc
+++ b/source/sidecar/shard_store.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Tokens of one era of the store: far more than are ever drawn, and workers know tokens of up to
-// 2^53.
+// Bits for the tokens of one store era. 2^32 tokens are far more than one era uses, and the
+// remaining bits leave room for many eras, as workers accept tokens up to 2^53.
 constexpr int kTokenBitsOfEra = 32;
 
 }  // namespace
@@ -33,7 +33,8 @@
 void ShardStore::TakeOver(sharding::ShardMap map, const ShardMapVersion& version) {
   map_ = std::move(map);
   version_ = version;
-  // Changes of an earlier revision were done, and are in this map, or never will be.
+  // A change that was based on an earlier revision is either contained in this map or can no longer
+  // be committed.
   changing_.clear();
   undecided_.clear();
 }
@@ -61,8 +62,8 @@
   Commit(transaction, key, map, std::move(callback));
 }
 
-// The owners stay, and what they hold under the grants of the former era they hold on: no shard is
-// uncertain while the outcome is not known.
+// Owners do not change, and they keep what they hold under grants of the earlier era. Hence no
+// shard becomes uncertain while the outcome is unknown.
 void ShardStore::CarryOver(const sharding::ShardMap& map, std::function<void(Outcome)> callback) {
   const ShardMapKey key{service_, store_.era()};
   store::Transaction transaction;
--- a/source/sidecar/shard_store.h
+++ b/source/sidecar/shard_store.h
@@ -1,9 +1,9 @@
-// The shard map of one service in the store: the copy in force here, and changes by
-// compare-and-swap, one at a time.
+// Local copy of one service's shard map in the store, and changes to it by compare-and-swap, one at
+// a time.
 //
-// When the store comes back from an older copy of its data, the map that is known here stays in
-// force, and no change is made, until one node has carried the newest map that it knows over into
-// the new era.
+// When the store is restored from an older copy of its data, a new era begins. The map known here
+// then stays in use, and no change is made, until a node has carried over the newest map that it
+// knows into the new era.
 #pragma once
 
 #include <functional>
@@ -17,54 +17,57 @@
 
 namespace runshelf::sidecar {
 
+// Not thread-safe.
 class ShardStore {
  public:
   ShardStore(store::StoreClient& store, std::string service);
 
-  // Takes over an item that the watch or a whole read delivered; returns true when it is newer.
+  // Processes an item from the watch or from a full read. Returns true when it replaced the map.
   bool OnItem(const store::Item& item);
 
   const sharding::ShardMap& map() const { return map_; }
   store::Revision revision() const { return version_.revision; }
   bool busy() const { return busy_; }
 
-  // Of the store, for which the map was made; the present one while there is no map.
+  // The store era that the map belongs to; the current era while there is no map.
   store::StoreEra era() const { return map_.empty() ? store_.era() : version_.era; }
-  // Changes can be made: the map is that of the present era.
+  // Whether the map belongs to the current era; only then can it be changed.
   bool IsOfCurrentEra() const { return era() == store_.era(); }
-  // The map is of a former era of the store.
+  // Whether the map belongs to an earlier era of the store.
   bool MustBeCarriedOver() const { return era() < store_.era(); }
-  // What is known of the map was read from the copy that the store came back from.
+  // Whether the map was read from the older copy that the store was restored from.
   bool FromRestoredStore() const { return version_.FromRestoredStore(); }
-  // Tokens of former eras are below this one.
+  // All tokens of earlier eras are below this one.
   sharding::FencingToken TokenBase() const;
-  // When this process first knew of the present era.
+  // When this process first learnt of the current era.
   Instant era_since() const { return store_.era_since(); }
-  // The present era began since this process started.
+  // Whether the current era began after this process started.
   bool restored() const { return store_.restored(); }
 
-  // No change that this process sent may still take `shard`, one of `map()`, from its owner or
-  // change its token. A change is open from when it is sent until its outcome is known; one without
-  // an answer may be done as long as the map has the revision that it was made from.
+  // Whether no pending change of this process can take `shard`, one of `map()`, from its owner or
+  // change its token. A change is pending from when it is sent until its outcome is known. A change
+  // without a response may still be executed as long as the map has the revision that the change
+  // was based on.
   bool Settled(const sharding::Shard& shard) const;
 
   enum class Outcome {
-    kCommitted,  // The map in force is the new one.
-    kConflict,   // Another change came first, or a condition failed; the map may be newer now.
-    kUnknown,    // No answer; the watch will tell.
+    kCommitted,  // The new map is in use.
+    kConflict,   // Another change came first or a condition failed; a newer map may be known now.
+    kUnknown,    // No response; the watch reports the change if it was executed.
   };
 
-  // Replaces the map that has `revision()`, if `conditions` hold too. Must not be called while
-  // busy.
+  // Replaces the map if it still has `revision()` and `conditions` hold. Must not be called while
+  // busy() is true.
   void Replace(const sharding::ShardMap& map, const std::vector<store::Condition>& conditions,
                std::function<void(Outcome)> callback);
-  // Makes `map` the one of the present era, if there is none yet. Must not be called while busy.
+  // Stores `map` as that of the current era if there is none yet. Must not be called while busy()
+  // is true.
   void CarryOver(const sharding::ShardMap& map, std::function<void(Outcome)> callback);
-  // An item of the state is gone.
+  // Called when the item with this key was removed from the store.
   void OnRemoved(const std::string& key) { former_keys_.erase(key); }
 
  private:
-  // First keys of shards of the map in force; they do not overlap.
+  // First keys of shards of the current map. Shards do not overlap, so each names one shard.
   using FirstKeys = std::set<sharding::ShardKey>;
 
   FirstKeys ShardsChangedBy(const sharding::ShardMap& changed) const;
@@ -76,10 +79,10 @@
   std::string service_;
   sharding::ShardMap map_;
   ShardMapVersion version_;
-  std::set<std::string> former_keys_;  // Of maps of former eras that are still in the store.
+  std::set<std::string> former_keys_;  // Keys of maps of earlier eras that are still in the store.
   bool busy_ = false;
-  FirstKeys changing_;   // Taken away by the change that is on its way.
-  FirstKeys undecided_;  // Taken away by changes that got no answer.
+  FirstKeys changing_;   // Shards that the change in progress reassigns.
+  FirstKeys undecided_;  // Shards that changes without a response reassign.
 };
 
 }  // namespace runshelf::sidecar
