--- a/source/sidecar/conflict_backoff.cc
+++ b/source/sidecar/conflict_backoff.cc
@@ -5,13 +5,13 @@
 namespace runshelf::sidecar {
 namespace {
 
-// Changes that come together are committed together.
+// Delay before the first attempt, so that changes that arise together are committed together.
 constexpr Duration kBatchingWait = std::chrono::milliseconds(5);
 constexpr Duration kImmediateRetryWait = std::chrono::milliseconds(1);
-// After the second conflict in a row; doubled after the fourth, and so on.
+// Upper bound of the wait after the second conflict in a row; doubled after the fourth, and so on.
 constexpr Duration kConflictWait = std::chrono::milliseconds(40);
 constexpr int kMaxDoublings = 4;
-// The planner looks at the map four times a second.
+// Covers at least one run of the planner, which checks the map four times a second.
 constexpr Duration kPlannerWaitMin = std::chrono::milliseconds(400);
 constexpr Duration kPlannerWaitMax = std::chrono::milliseconds(900);
 
--- a/source/sidecar/heartbeat_grants.cc
+++ b/source/sidecar/heartbeat_grants.cc
@@ -9,16 +9,18 @@
 namespace runshelf::sidecar {
 namespace {
 
-// Of an answer, for what surrounds the rows: names of fields, brackets, the hold.
+// Size of a response apart from its rows: field names, brackets and the duration.
 constexpr size_t kBytesBesideRows = 64;
-// One answer may be lost, so that the worker never saw the shard; after two in a row it refuses it.
+// Consecutive heartbeats without a leased shard after which the worker counts as having refused it.
+// A single one may just mean that a response was lost.
 constexpr uint32_t kMissingReports = 2;
 
 bool IsReported(const KeyReport& report, const sharding::Shard& shard) {
   return HoldsAll(report, shard.first, shard.last, shard.token);
 }
 
-// A worker that has the keys needs no handover, and rows without one can be joined.
+// The handover is dropped for keys that the worker already holds: it needs none, and rows without
+// one can be merged.
 LeasedKeys RowOf(const KeyReport& report, const sharding::Shard& shard) {
   return {shard.first, shard.last, shard.token,
           IsReported(report, shard) ? std::string() : shard.handover};
@@ -112,7 +114,8 @@
       continue;
     }
     ++rows_omitted_;
-    // What the worker never had waits for room; what it has, it gives up to another worker.
+    // A shard that the worker does not hold yet waits until it fits; one that it holds is released
+    // so that another worker can take it.
     if (!is_new(held)) OmitFromLease(heartbeat, held);
   }
   std::sort(fitting.begin(), fitting.end(), [](const HeldShard* left, const HeldShard* right) {
--- a/source/sidecar/heartbeat_grants.h
+++ b/source/sidecar/heartbeat_grants.h
@@ -1,15 +1,15 @@
-// Grants of keys that travel in the answers to a worker's heartbeats.
+// Key grants that are delivered in the responses to a worker's heartbeats.
 //
-// Free of input and output. The answer lists all keys that the worker is to hold; what is missing
-// the worker lets go, and its next heartbeats say when that is done. A worker sends one heartbeat
-// at a time, each with a higher sequence, and takes no answer later than kAnswerWindow after it
-// sent the heartbeat. From that follows:
+// Performs no I/O. Each response lists all keys that the worker is to hold; the worker releases all
+// others, and its next heartbeats report when that is done. A worker sends one heartbeat at a time,
+// each with a higher sequence number, and ignores a response that arrives more than kAnswerWindow
+// after it sent the heartbeat. It follows that:
 //
-// - A shard may be held until `hold` after the answer was written: the worker counts from the
-//   sending of its heartbeat, which came before.
-// - It is certainly held, if the answer arrives, until kAnswerWindow less than that.
-// - It is certainly let go once a heartbeat after the one whose answer left it out reports no key
-//   of it, or once the last lease that listed it has run out.
+// - A shard may be held until `hold` after the response was written, because the worker counts from
+//   when it sent the heartbeat, which was earlier.
+// - If the response arrives, the shard is held at least until kAnswerWindow before that time.
+// - The shard is released once a heartbeat sent after the one whose response omitted it reports
+//   none of its keys, or once the last lease that listed it has expired.
 #pragma once
 
 #include <functional>
@@ -20,30 +20,34 @@
 
 namespace runshelf::sidecar {
 
-// A worker takes no answer that comes later after its heartbeat was sent; the platform's bound.
+// A worker ignores a response that arrives later than this after it sent the heartbeat. Defined by
+// the platform.
 constexpr Duration kAnswerWindow = std::chrono::seconds(1);
 
+// Builds the leases for one worker's heartbeats and tracks from its reports which shards it holds.
+// Not thread-safe.
 class HeartbeatGrants {
  public:
   explicit HeartbeatGrants(const WireFormat& wire) : wire_(wire) {}
 
-  // Notes what the worker's newest heartbeat says. Returns true when a shard of `shards` was
-  // released or is held under a higher token, so that the map has to follow.
+  // Updates `shards` from the worker's newest heartbeat. Returns true when a shard was released, is
+  // held under a higher token or was not accepted, so that the map has to be changed.
   bool OnReport(const WorkerHeartbeat& heartbeat, HeldShards* shards);
 
   using ShardPredicate = std::function<bool(const sharding::Shard&)>;
 
-  // The lease that answers `heartbeat`, the newest of its worker, at `now`. Shards for which
-  // `must_move` holds are left out from here on, those for which `settled` does not hold are left
-  // out of this answer. Rows that do not fit into one answer are left out too, those that the
-  // worker does not hold yet first.
+  // Builds the lease for the response, written at `now`, to `heartbeat`, the newest of its worker.
+  // `hold` is the duration of the lease. Shards for which `must_move` returns true are omitted from
+  // now on; shards for which `settled` returns false are omitted from this response only. Rows that
+  // exceed the size limit of a response are omitted too, starting with those that the worker does
+  // not hold yet.
   KeyLease MakeLease(const WorkerHeartbeat& heartbeat, Instant now, Duration hold,
                      const ShardPredicate& must_move, const ShardPredicate& settled,
                      HeldShards* shards);
 
-  // The highest token that the worker reported on keys of the shards.
+  // The highest token that the worker has reported for any key of the shards.
   sharding::FencingToken highest_token_seen() const { return highest_token_seen_; }
-  // Rows that did not fit, of all answers.
+  // Total number of rows omitted because of the size limit of a response.
   uint64_t rows_omitted() const { return rows_omitted_; }
 
  private:
--- a/source/sidecar/key_lessor.h
+++ b/source/sidecar/key_lessor.h
@@ -1,4 +1,4 @@
-// Who decides what the answers to a worker's heartbeats say of keys.
+// Interface that supplies the key lease for the responses to a worker's heartbeats.
 #pragma once
 
 #include <optional>
@@ -10,13 +10,14 @@
 class KeyLessor {
  public:
   virtual ~KeyLessor() = default;
-  // A heartbeat of the current worker, newer than all before.
+  // Called for each heartbeat of the current worker that is newer than all earlier ones.
   virtual void OnKeyReport(const WorkerHeartbeat& heartbeat) = 0;
-  // The node is about to learn, or to write to the map, what the worker is to hold, or who is at
-  // its address: an answer that waits for it a little saves the worker a whole heartbeat without
-  // its keys.
+  // Whether the lease is about to change: the worker's identity is being verified, or an update of
+  // the shard map is about to arrive or to be written. Delaying the response briefly then spares
+  // the worker a whole heartbeat interval without its keys.
   virtual bool LeaseIsPending() const = 0;
-  // What the answer to the newest heartbeat, which is written now, says of keys; nullopt: nothing.
+  // The lease to send in the response to the newest heartbeat, which is written now; nullopt if the
+  // response is to contain none.
   virtual std::optional<KeyLease> LeaseFor(const WorkerHeartbeat& heartbeat) = 0;
 };
 
--- a/source/sidecar/key_report.cc
+++ b/source/sidecar/key_report.cc
@@ -6,7 +6,7 @@
 namespace runshelf::sidecar {
 namespace {
 
-// How many keys from `first` to `last` the row contains.
+// The number of keys from `first` to `last` that the row contains.
 template <typename Row>
 uint32_t Overlap(const Row& row, sharding::ShardKey first, sharding::ShardKey last) {
   const sharding::ShardKey from = std::max(row.first, first);
--- a/source/sidecar/shard_holder.cc
+++ b/source/sidecar/shard_holder.cc
@@ -7,7 +7,7 @@
 namespace runshelf::sidecar {
 namespace {
 
-// Of one log line.
+// Maximum number of key ranges in one log line.
 constexpr size_t kMaxRangesLogged = 8;
 
 std::string KeyRanges(const std::vector<sharding::Shard>& shards) {
@@ -93,7 +93,8 @@
   reconciling_ = true;
   PruneOrphanedGrants();
   AdoptShards();
-  // From here on the map is known as the former life of this process knew it.
+  // Shards in the map before this run first had authority may have been granted by the previous
+  // run of this process.
   had_authority_ = had_authority_ || context_.AuthorityUntil() > loop_.Now();
   if (GrantsByHeartbeat()) {
     AbandonExpiredShards();
@@ -107,7 +108,7 @@
 
 void ShardHolder::OnWorkerConnectionLost() { SuspectEnd("idle-connection-lost"); }
 
-// One whose incarnation is known is looked at before each grant that is repeated.
+// Not needed for workers whose id contains an incarnation: those are verified before each renewal.
 void ShardHolder::SuspectEnd(const char* reason) {
   if (!DividedByKey() || GrantsByHeartbeat() || context_.WorkerHasIncarnationId()) return;
   context_.InvalidateWorkerProof(reason);
@@ -131,17 +132,18 @@
                      [this](const sharding::Shard& shard) { return OwnedByFormerWorker(shard); });
 }
 
-// The shard belongs to a worker of this machine that certainly holds it no more.
+// Whether the shard's owner is a former worker of this machine that certainly no longer holds it.
 bool ShardHolder::OwnedByFormerWorker(const sharding::Shard& shard) const {
   if (shard.owner.node != config_.node || shard.owner.worker.empty()) return false;
   if (shard.owner.worker == worker_id_) return false;
-  // Whoever is there has not told its incarnation: it may be the owner.
+  // The current worker's incarnation is not known yet: it may be the owner.
   if (worker_id_ == wire_.StatedIdentity(shard.owner.worker)) return false;
-  // There is one worker on a machine: another one's presence tells that the former ended.
+  // There is only one worker on a machine, so the presence of another shows that the former ended.
   if (!worker_id_.empty() || ended_workers_.contains(shard.owner.worker)) return true;
-  // A process that has just learnt of its shards may find the worker at any moment.
+  // While the search for the worker is not finished, it may be found at any moment.
   if (!worker_absent_) return false;
-  // It fell silent: its grants, those of an earlier life of this process too, must have run out.
+  // The worker stopped responding: its grants, including those of an earlier run of this process,
+  // must have expired.
   const Instant now = loop_.Now();
   const auto found = holdings_.find({shard.first, shard.last, shard.token});
   const bool grant_out = found != holdings_.end() ? now <= found->second.held_until
@@ -154,13 +156,13 @@
          EarlierGrantsExpired(now);
 }
 
-// Grants that an earlier life of this process gave have run out.
+// Whether all grants that an earlier run of this process gave have expired.
 bool ShardHolder::EarlierGrantsExpired(Instant now) const {
   const Duration hold = GrantsByHeartbeat() ? config_.heartbeat_hold : config_.hold;
   return now > started_at_ + hold + hold / kClockRateDivisor + config_.call_timeout;
 }
 
-// Brings the holdings in line with the map: new shards are added, lost ones are forgotten.
+// Synchronizes the holdings with the map: adds new shards and removes lost ones.
 void ShardHolder::AdoptShards() {
   HeldShards wanted;
   for (const sharding::Shard& shard : shards_.map().shards()) {
@@ -173,7 +175,7 @@
     } else if (const HeldShard* parent = FindHolding(shard.first);
                parent != nullptr && parent->shard.token == shard.token &&
                parent->shard.last >= shard.last && !parent->releasing) {
-      // The shard was split: its parts are held as the whole was.
+      // The shard was split: its parts inherit the state of the whole.
       holding.usable_until = parent->usable_until;
       holding.held_until = parent->held_until;
       holding.leased = parent->leased;
@@ -224,14 +226,14 @@
   }
 }
 
-// No other worker is here, as far as is known; of this one the incarnation may not be known yet.
+// Whether `worker_id` may be the worker that is present now, whose incarnation may not be known.
 bool ShardHolder::MayBePresent(const std::string& worker_id) const {
   if (worker_id_.empty()) return !ended_workers_.contains(worker_id);
   return worker_id == worker_id_ || worker_id == wire_.StatedIdentity(worker_id_) ||
          worker_id_ == wire_.StatedIdentity(worker_id);
 }
 
-// The grants have run out, or the worker has let the keys go since.
+// Removes the grants that have expired or whose keys the worker has released since.
 void ShardHolder::PruneOrphanedGrants() {
   const Instant now = loop_.Now();
   std::erase_if(orphaned_grants_, [&](const OrphanedGrant& grant) {
@@ -252,8 +254,8 @@
   return leaving_ || !shard.move_to_node.empty();
 }
 
-// While a change that takes the shard away is on its way, or its outcome is not known, the map in
-// force is no ground to act on: the change may be done at any moment.
+// While a change that takes the shard away is in progress, or its outcome is unknown, the current
+// map cannot be relied on: the change may be executed at any moment.
 bool ShardHolder::OwnedByThisWorker(const HeldShard& holding) const {
   return holding.worker_id == worker_id_ && shards_.Settled(holding.shard);
 }
@@ -263,21 +265,22 @@
   if (worker_id_.empty() || context_.AuthorityUntil() <= now + kMinHold) return;
   const WorkerProof proof = context_.VerifyWorker();
   if (proof == WorkerProof::kNone) return;
-  std::optional<bool> may_repeat;  // Found out when it is asked for.
+  std::optional<bool> may_repeat;  // Computed when first needed.
   std::vector<sharding::Shard> newly_granted;
   for (auto& [key, holding] : holdings_) {
     if (grants_.size() >= config_.max_concurrent_grants) break;
     if (holding.call != 0 || holding.releasing || holding.superseded) continue;
     if (!OwnedByThisWorker(holding)) continue;
-    // A shard that is to move is renewed until its release is sent.
+    // Shards that are to move, or that another worker may still hold, are not granted.
     if (MustMove(holding.shard) || MayBeHeldElsewhere(holding, now)) continue;
     const bool held = holding.usable_until > now;
     if (now < holding.retry_at) continue;
     const bool repeats = holding.token_use != TokenUse::kNone;
     if (repeats && !may_repeat.has_value()) may_repeat = MayRepeatGrants(proof);
     if (repeats && !*may_repeat) {
-      // A new token costs one change of the map for each start of a node whose keys were not handed
-      // over before; the proof takes two heartbeats, up to 2.6 s without the keys.
+      // After a start of the node without a prior handover, a new token costs one change of the
+      // map; verifying the incarnation instead would take two heartbeats, up to 2.6 s without the
+      // keys.
       if (holding.token_use == TokenUse::kMaybeByEarlierRun) holding.superseded = true;
       continue;
     }
@@ -289,8 +292,9 @@
 }
 
 bool ShardHolder::MayRepeatGrants(WorkerProof proof) {
-  // What is known may be old: the worker may have ended since, the next one may listen, and the
-  // news lie unread. A connection that is open at this moment tells.
+  // The verification may be outdated: the worker may have ended, its successor may be listening,
+  // and the events that show it may not have been processed yet. Only a connection that is open now
+  // shows that the same incarnation is running.
   if (proof == WorkerProof::kIncarnation && context_.WorkerRuns()) {
     renewals_blocked_since_ = Instant{};
     return true;
@@ -317,8 +321,8 @@
              {{"worker", worker_id_}, {"shards_to_renew", count}});
 }
 
-// Only shards that the worker is not known to hold: renewals would be a line for each second. At
-// most one line for each tick, the first at once.
+// Logs only grants of shards that the worker is not known to hold, since renewals would add a line
+// every second. Writes at most one line per tick, the first immediately.
 void ShardHolder::LogGrants(const std::vector<sharding::Shard>& shards) {
   unlogged_grants_.insert(unlogged_grants_.end(), shards.begin(), shards.end());
   if (unlogged_grants_.empty() || loop_.Now() - grants_logged_at_ < config_.tick_interval) return;
@@ -350,7 +354,7 @@
 void ShardHolder::OnKeyRefused(sharding::ShardKey key) {
   const HeldShard* found = FindHolding(key);
   if (found == nullptr || found->releasing) return;
-  // An order that was carried out late has taken the keys away: grant them again.
+  // A release that was executed late has taken the keys away: grant them again.
   HeldShard& holding = holdings_.at({found->shard.first, found->shard.last, found->shard.token});
   holding.usable_until = Instant{};
   holding.sent_at = Instant{};
@@ -374,15 +378,15 @@
 
 bool ShardHolder::LeaseIsPending() const {
   if (!DividedByKey()) return false;
-  // A heartbeat proves that the worker was there when its former one was answered. Answered after
-  // there is a connection, this one lets the next prove whose connection that is.
+  // A heartbeat proves that the worker was present when its previous one was answered. If this one
+  // is answered after a connection was opened, the next one proves whose connection that is.
   if (!GrantsByHeartbeat()) {
     return context_.WorkerHasIncarnationId() && context_.VerifyWorker() == WorkerProof::kNone;
   }
   if (leaving_ || shards_.map().empty()) return false;
   if (context_.AuthorityUntil() <= loop_.Now() + kMinHold) return true;
-  // Shards of the worker's former life are about to be its own; others may be about to be so no
-  // more.
+  // Shards of the worker's former incarnation are about to be reassigned to it, and shards with a
+  // pending change may be about to be taken away.
   const auto& shards = shards_.map().shards();
   return std::any_of(shards.begin(), shards.end(), [this](const sharding::Shard& shard) {
     return OwnedByFormerWorker(shard) ||
@@ -393,17 +397,18 @@
 std::optional<KeyLease> ShardHolder::LeaseFor(const WorkerHeartbeat& heartbeat) {
   if (!GrantsByHeartbeat() || !DividedByKey() || heartbeat.worker_id != worker_id_)
     return std::nullopt;
-  // Without the map, or the right to act on it, nothing is known of what the worker is to hold.
+  // Without the map, or the authority to act on it, there is nothing to grant.
   if (shards_.map().empty()) return std::nullopt;
   const Instant now = loop_.Now();
   const Duration authority = context_.AuthorityUntil() - now;
   const Duration hold = std::min(config_.heartbeat_hold, authority - authority / kClockRateDivisor);
   if (hold < kMinHold) return std::nullopt;
-  std::set<sharding::ShardKey> held_elsewhere;  // Maybe; first keys.
+  // First keys of shards that another worker may hold.
+  std::set<sharding::ShardKey> held_elsewhere;
   for (const auto& [key, holding] : holdings_) {
     if (MayBeHeldElsewhere(holding, now)) held_elsewhere.insert(holding.shard.first);
   }
-  // A lease without them would take away what the worker may hold itself.
+  // An empty lease would make the worker release keys that it may hold itself.
   if (!held_elsewhere.empty() && held_elsewhere.size() == holdings_.size()) return std::nullopt;
   ++grants_sent_;
   std::vector<HeldShardKey> lapsed;
@@ -425,8 +430,8 @@
   return lease;
 }
 
-// A worker whose heartbeats do not arrive cannot renew its keys: once its grants have run out,
-// others may have them.
+// A worker whose heartbeats do not arrive cannot renew its keys; once its grants have expired, they
+// may be given to other workers.
 void ShardHolder::AbandonExpiredShards() {
   if (worker_id_.empty() || WorkerCanReceiveKeys()) return;
   const Instant now = loop_.Now();
@@ -434,7 +439,7 @@
   size_t count = 0;
   for (auto& [key, holding] : holdings_) {
     if (holding.released || holding.worker_id != worker_id_ || now <= holding.held_until) continue;
-    // As any shard that is let go, it is left out of every answer from here on.
+    // Like any released shard, it is omitted from all further responses.
     holding.releasing = true;
     holding.released = true;
     holding.abandoned = true;
--- a/source/sidecar/shard_holder.h
+++ b/source/sidecar/shard_holder.h
@@ -1,5 +1,5 @@
-// Keeps the worker of this machine in possession of the keys that the shard map gives it, and hands
-// them over when the map, a drain or a stop says so.
+// Grants the worker on this machine the keys that the shard map assigns to it, and hands them over
+// to other workers when the map marks them for a move, or when the worker or this node leaves.
 #pragma once
 
 #include <cstdint>
@@ -31,66 +31,69 @@
 
 namespace runshelf::sidecar {
 
+// Settings of a ShardHolder.
 struct ShardHolderConfig {
   std::string node;
   event::Endpoint worker;
-  Duration hold = std::chrono::seconds(3);  // Of one grant call; at most what the fleet allows.
-  // Of a grant that travels in a heartbeat: at most what the fleet allows and the node's lease
-  // lasts. Long, so that a worker keeps its keys while its heartbeats are cut off for a while.
+  // Duration of a grant that is sent by a call; at most what the fleet allows.
+  Duration hold = std::chrono::seconds(3);
+  // Duration of a grant in a heartbeat response; at most what the fleet allows and no longer than
+  // the node's lease. Long, so that a worker keeps its keys while its heartbeats are interrupted.
   Duration heartbeat_hold = std::chrono::seconds(8);
-  // Without a heartbeat for so long, a worker counts as cut off from this node.
+  // Time without a heartbeat after which a worker counts as cut off from this node.
   Duration heartbeat_silence = std::chrono::milliseconds(2500);
   Duration renewal_interval = std::chrono::seconds(1);
-  // A grant or a release that got no answer is sent again after this long: the same worker may just
-  // be slow, and where nothing listens, or new connections are reset, each one fails at once.
+  // Delay before a grant or release without a response is sent again. The worker may just be slow;
+  // and where nothing listens, or new connections are reset, each attempt fails immediately.
   Duration order_retry = std::chrono::milliseconds(100);
-  // A worker whose grants are due and must not be repeated for so long, since another incarnation
-  // may be there, gets its keys under new tokens, which any incarnation may take: a change of the
-  // map. With the renewal interval it is less than a grant lasts, and more than a heartbeat takes
-  // to come on most deployments, which tells mostly.
+  // How long renewals may be blocked because another incarnation may be at the worker's address.
+  // After that the shards get new tokens, which any incarnation may use, by a change of the map.
+  // Together with the renewal interval it is shorter than a grant; and it is longer than the
+  // heartbeat interval of most deployments, as a heartbeat usually identifies the incarnation.
   Duration incarnation_timeout = std::chrono::milliseconds(1600);
-  // Without a turn for this long, the process may have slept through the end of its worker.
+  // If the event loop did not run for this long, the process may have missed the end of its worker.
   Duration pause_threshold = std::chrono::milliseconds(700);
   Duration call_timeout = std::chrono::milliseconds(400);
-  // A release answers when what runs on the keys has ended.
+  // A release is answered once the requests that run on its keys have ended.
   Duration release_timeout = std::chrono::seconds(2);
   Duration tick_interval = std::chrono::milliseconds(200);
   size_t max_concurrent_grants = 4;
-  // A release only waits, for what runs on its keys; keys that must leave a busy worker leave it
-  // together.
+  // A release only waits for the requests that run on its keys, so that all keys that must leave a
+  // busy worker can be released at the same time.
   size_t max_concurrent_releases = 32;
 };
 
-// What the holder asks of the node around it.
+// Interface through which ShardHolder uses its node.
 class ShardHolderContext {
  public:
   virtual ~ShardHolderContext() = default;
-  // Until when this node may let its worker hold keys; Instant{} when it may not.
+  // Until when this node may let its worker hold keys; Instant{} if it may not.
   virtual Instant AuthorityUntil() const = 0;
-  // Holds as long as this life of the node is the latest one: a change of the map that it sent must
-  // not be done when a later life acts on the map as it was.
+  // Store condition that holds while this run of the node is the latest one. It keeps a change of
+  // the map that was sent by this run from being executed once a later run acts on the old map.
   virtual store::Condition LatestRunCondition() const = 0;
-  // What is known of the process at the worker's address. An order meant for a worker must not
-  // reach the next one there, which would hold keys under the former's token. Asks who is there
-  // when that is not known.
+  // How far the process at the worker's address has been verified; probes its identity if it has
+  // not been. A grant meant for one worker must not reach its successor, which would then hold keys
+  // under its predecessor's token.
   virtual WorkerProof VerifyWorker() = 0;
-  // The incarnation that was proven runs at this moment.
+  // Whether the verified incarnation is running now.
   virtual bool WorkerRuns() const = 0;
-  // Incarnations of the worker may state one identity: only a connection that is open, or the
-  // worker itself, tells which one is there.
+  // Whether several incarnations of the worker may state the same identity, so that only an open
+  // connection or the worker's own heartbeat shows which one is there.
   virtual bool WorkerHasIncarnationId() const = 0;
-  // Makes a connection to whoever is at the worker's address, if none is idle.
+  // Opens a connection to the process at the worker's address, if none is idle.
   virtual void EnsureWorkerConnection() = 0;
-  // An order may have met another process there, or the worker may have ended. `reason`: for the
-  // log.
+  // Called when a grant or release may have reached another process, or the worker may have ended.
+  // `reason`: for the log.
   virtual void InvalidateWorkerProof(const char* reason) = 0;
-  // Workers that take the shards of this node when it gives all of them up, one for each; empty
-  // when there is none.
+  // Workers that are to take this node's shards when it gives up all of them, one for each shard;
+  // empty when there is none.
   virtual std::vector<sharding::WorkerId> ChooseSuccessors(size_t shard_count) = 0;
-  // The worker beside `node` that takes keys; its worker is empty when there is none.
+  // The worker on the machine of `node` if it accepts keys; else a WorkerId with an empty worker.
   virtual sharding::WorkerId WorkerOf(const std::string& node) = 0;
 };
 
+// Not thread-safe. All references passed to the constructor must outlive the holder.
 class ShardHolder : public KeyAuthority, public KeyLessor {
  public:
   ShardHolder(event::EventLoop& loop, http::ConnectionPool& pool, const WireFormat& wire,
@@ -98,22 +101,22 @@
               Random& random, LogWriter& log, ShardHolderConfig config);
   ~ShardHolder() override;
 
-  // The service of the worker is divided by key.
+  // Sets whether the worker's service is sharded by key.
   void SetSharded(bool sharded);
-  // How the worker learns which keys it holds.
+  // Sets how grants are delivered to the worker.
   void SetGrantDelivery(routes::GrantDelivery delivery);
-  // Connections that the worker takes from all callers; zero: not known.
+  // Sets how many connections the worker accepts from all callers; zero: not known.
   void SetMaxConnections(uint32_t max_connections);
-  // Identity of the worker; empty when it was looked for and none is there. `gone`: the former one
-  // is certainly not running any more.
+  // Sets the id of the worker; empty when a search found none. `gone`: the former worker has
+  // certainly ended.
   void SetWorker(const std::string& worker_id, bool gone);
-  // All shards are to be handed to others: the worker or this node is leaving.
+  // Sets whether all shards are to be handed over because the worker or this node is leaving.
   void SetLeaving(bool leaving);
-  // The map in the store may have changed.
+  // Called when the map in the store may have changed.
   void OnMapChanged();
-  // The worker proved its identity: grants that waited for it are sent.
+  // Called when the worker's identity was verified; sends the grants that waited for it.
   void OnWorkerConfirmed() { Reconcile(); }
-  // The worker closed a connection that no request was on: maybe it ended.
+  // Called when the worker closed an idle connection; it may have ended.
   void OnWorkerConnectionLost();
 
   std::optional<bool> Sharded() const override { return sharded_; }
@@ -125,15 +128,15 @@
   bool LeaseIsPending() const override;
   std::optional<KeyLease> LeaseFor(const WorkerHeartbeat& heartbeat) override;
 
-  // The worker can be given keys: by calls, or its heartbeats arrive.
+  // Whether keys can be granted to the worker: by calls, or because its heartbeats arrive.
   bool WorkerCanReceiveKeys() const;
   sharding::KeyLoadMeter& meter() { return meter_; }
-  // No shard of the map names this node as its owner.
+  // Whether no shard of the map is owned by a worker of this node.
   bool OwnsNoShards() const;
-  // Workers of the service tell their incarnations, as the owners in the map show: an identity
-  // without one is not whole.
+  // Whether the owners in the map show that workers of the service state their incarnations, so
+  // that an identity without one is incomplete.
   bool OwnersHaveIncarnationIds() const;
-  // A grant of a shard that the worker has not released may still be in force there.
+  // Whether a grant of a shard that the worker has not released may still be valid.
   bool WorkerMayHoldKeys() const;
   uint64_t grants_sent() const { return grants_sent_; }
 
@@ -143,28 +146,28 @@
   void DetectPause();
   void AdoptShards();
   void RenewGrants();
-  // Whether grants under tokens that were granted before may be sent to the worker.
+  // Whether tokens that have been granted before may be sent to the worker again.
   bool MayRepeatGrants(WorkerProof proof);
-  // The worker may have ended unnoticed.
+  // Called when the worker may have ended without this process noticing.
   void SuspectEnd(const char* reason);
   void RequestNewTokens();
-  // Another worker may hold the shard under a grant of a former era of the store.
+  // Whether another worker may hold the shard under a grant of an earlier store era.
   bool MayBeHeldElsewhere(const HeldShard& holding, Instant now) const;
-  // The worker certainly holds all keys of the shard, which was carried over, under the tokens of
-  // the former era: nobody else does.
+  // Copies the deadlines of the earlier era's grants to the carried-over shard if the worker
+  // certainly holds all its keys under that era's tokens, so that no other worker does.
   void InheritHold(const sharding::Shard& shard, Instant now, HeldShard* holding) const;
   void LogGrants(const std::vector<sharding::Shard>& shards);
   void SendGrant(const HeldShardKey& key, HeldShard* holding);
-  // The lane of connections for grants of this shard.
+  // Name of the connection lane that is used for grants of this shard.
   std::string GrantLane(const HeldShardKey& key) const;
-  // `own_answer`: the answer cannot be that to the grant of another shard.
+  // `own_answer`: the response cannot belong to the grant of another shard.
   void OnGrantAnswer(const HeldShardKey& key, uint64_t call, Instant sent, Duration hold,
                      bool own_answer, const std::optional<http::Response>& response);
   void ReleaseMoving();
   void SendRelease(const HeldShardKey& key, HeldShard* holding);
   void OnReleaseAnswer(const HeldShardKey& key, uint64_t call,
                        const std::optional<http::Response>& response);
-  // One that takes long, or has no answer: its keys are served by nobody meanwhile.
+  // Logs a release that takes long or got no response: no worker serves its keys meanwhile.
   void LogSlowRelease(const HeldShard& holding, const std::optional<http::Response>& response);
   void CommitChanges();
   bool ReassignToOwnWorker(sharding::ShardMap* map);
@@ -172,21 +175,21 @@
   bool MustRenewToken(const HeldShard& holding) const;
   bool HandOverReleased(sharding::ShardMap* map);
   size_t ReleasedCount() const;
-  // How long the next change waits for others that may come with it, or for other nodes to finish
-  // theirs.
+  // Delay before the next change, so that further changes can be committed with it or other nodes
+  // can finish theirs.
   Duration CommitDelay();
   bool MustMove(const sharding::Shard& shard) const;
-  // The worker beside this node owns the shard, as far as is known.
+  // Whether the worker on this machine owns the shard and no pending change can take it away.
   bool OwnedByThisWorker(const HeldShard& holding) const;
   bool HasChangeToCommit() const;
   bool DividedByKey() const { return sharded_.value_or(false); }
   bool GrantsByHeartbeat() const;
   bool EarlierGrantsExpired(Instant now) const;
-  // No grant of these keys that this process or an earlier life of it sent can be in force.
+  // Whether all grants of these keys, by this or an earlier run of this process, have expired.
   bool GrantsExpired(const HeldShard& holding, Instant now) const;
   void AbandonExpiredShards();
   bool OwnedByFormerWorker(const sharding::Shard& shard) const;
-  // Of grants that the worker may have when the map has its shards no more.
+  // Records the grants that may still be valid for shards that are no longer wanted here.
   void RecordOrphanedGrants(const HeldShards& wanted);
   void PruneOrphanedGrants();
   bool MayBePresent(const std::string& worker_id) const;
@@ -208,29 +211,29 @@
   event::Timer commit_timer_;
   sharding::KeyLoadMeter meter_;
   HeldShards holdings_;
-  std::vector<OrphanedGrant>
-      orphaned_grants_;  // Of the present worker, or of one that fell silent.
+  // Grants of the current worker, or of one that stopped responding.
+  std::vector<OrphanedGrant> orphaned_grants_;
   http::CallSet grants_;
   http::CallSet releases_;
   HeartbeatGrants heartbeat_grants_;
   routes::GrantDelivery delivery_ = routes::GrantDelivery::kCalls;
-  bool had_authority_ = false;        // Since this process started.
-  Instant renewals_blocked_since_{};  // Grants are due that must not be repeated; Instant{}: none.
-  Instant last_reconcile_at_{};       // The latest look at what is to be done.
-  Instant heard_at_{};                // The latest heartbeat of the worker that reported keys.
-  ConflictBackoff backoff_;           // Of changes of the map.
-  size_t grant_lanes_ = 4;            // Shards whose grants have connections of their own.
-  uint64_t order_count_ = 0;          // Grants and releases sent; numbers them.
+  bool had_authority_ = false;  // Whether AuthorityUntil() was ever in the future in this run.
+  Instant renewals_blocked_since_{};  // Since when due renewals are blocked; Instant{}: none is.
+  Instant last_reconcile_at_{};       // Time of the latest call of Reconcile().
+  Instant heard_at_{};                // Time of the worker's latest heartbeat with reported keys.
+  ConflictBackoff backoff_;           // For changes of the map.
+  size_t grant_lanes_ = 4;            // Number of shards whose grants have dedicated connections.
+  uint64_t order_count_ = 0;          // Grants and releases sent; the source of call numbers.
   uint64_t grants_sent_ = 0;
-  std::vector<sharding::Shard> unlogged_grants_;  // Not logged yet.
+  std::vector<sharding::Shard> unlogged_grants_;  // New grants that have not been logged yet.
   Instant grants_logged_at_{};
   std::string worker_id_;
-  bool worker_absent_ = false;           // It was looked for, and none is there.
-  std::set<std::string> ended_workers_;  // Identities that are certainly not running any more.
-  std::optional<bool> sharded_;          // Not known yet, while empty.
+  bool worker_absent_ = false;           // A search found no worker.
+  std::set<std::string> ended_workers_;  // Ids of workers that have certainly ended.
+  std::optional<bool> sharded_;          // Empty while not known.
   bool leaving_ = false;
-  bool reassigning_ = false;  // The latest change of the map gave shards of a former worker on.
-  bool reconciling_ = false;
+  bool reassigning_ = false;  // The latest change of the map reassigned a former worker's shards.
+  bool reconciling_ = false;  // Guards against re-entry of Reconcile().
 };
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/shard_holder_commits.cc
+++ b/source/sidecar/shard_holder_commits.cc
@@ -1,4 +1,4 @@
-// The part of ShardHolder that writes to the shard map what became of this node's shards.
+// The part of ShardHolder that commits changes of this node's shards to the shard map.
 
 #include <algorithm>
 #include <vector>
@@ -11,7 +11,8 @@
 constexpr Duration kCommitRetry = std::chrono::milliseconds(50);
 }  // namespace
 
-// The planner gives all shards of replaced workers to their successors at once.
+// Waits longer while reassigning shards of a former worker, as the planner reassigns the shards of
+// all replaced workers in one change.
 Duration ShardHolder::CommitDelay() { return backoff_.Wait(random_, reassigning_); }
 
 void ShardHolder::CommitChanges() {
@@ -46,7 +47,7 @@
                   });
 }
 
-// Shards of a former worker of this machine go to the one that is here now, or are given up.
+// Assigns the shards of a former worker of this machine to the current one, or gives them up.
 bool ShardHolder::ReassignToOwnWorker(sharding::ShardMap* map) {
   bool changed = false;
   sharding::FencingToken token = 0;
@@ -54,10 +55,10 @@
     if (!OwnedByFormerWorker(shard)) continue;
     if (!changed) token = map->NextToken();
     changed = true;
-    // An owner whose incarnation was not known may be the worker that is here, and a worker that is
-    // here may hold what another node took for its predecessor's: it lets the keys go as any
-    // others, under a token that is known to be its own. Given up at once, they had two holders for
-    // as long as the grant lasts, up to 10 s.
+    // The owner may be the current worker if its incarnation was not known, and the current worker
+    // may hold keys that another node attributes to its predecessor. Such keys are assigned to the
+    // current worker under a new token and then released as usual. Giving them up immediately would
+    // leave them with two holders until the grant expires, up to 10 s.
     const bool may_be_here = shard.owner.worker == wire_.StatedIdentity(worker_id_) ||
                              MayBeHeldUnderOrphanedGrant(shard);
     if (worker_id_.empty() || (leaving_ && !may_be_here)) {
@@ -75,8 +76,8 @@
   return changed;
 }
 
-// The worker refused the shard for its token, or a change that takes the shard away got no answer:
-// a change under a higher token decides both.
+// Whether the shard needs a higher token, because its current one must not be granted again or
+// because a change that takes the shard away got no response. The new change settles both cases.
 bool ShardHolder::MustRenewToken(const HeldShard& holding) const {
   if (holding.worker_id != worker_id_) return false;
   if (holding.superseded) return true;
@@ -119,7 +120,7 @@
       successor = successors[next++ % successors.size()];
     }
     if (successor.worker.empty() && !leaving_) {
-      // Nobody takes it: it stays here, under a new token.
+      // No other worker accepts it: it stays here under a new token.
       successor = {config_.node, worker_id_};
     }
     const std::string handover = found->second.handover;
--- a/source/sidecar/shard_holder_orders.cc
+++ b/source/sidecar/shard_holder_orders.cc
@@ -1,4 +1,4 @@
-// The part of ShardHolder that gives keys to the worker, and takes them back, by calls to it.
+// The part of ShardHolder that grants keys to the worker and releases them by calls to it.
 
 #include <fmt/format.h>
 
@@ -13,12 +13,13 @@
 constexpr int kOk = 200;
 constexpr int kConflict = 409;
 
-// Requests of a moment run less long, as a rule; a release waits for those on its keys.
+// Releases that take longer are logged. A release waits for the requests on its keys, which usually
+// run less long.
 constexpr Duration kSlowRelease = std::chrono::seconds(1);
 
-// Connections for grants of several shards.
+// Lane that the grants of several shards share.
 constexpr std::string_view kSharedGrantLane = "grant";
-// One shard of this many of a worker's connections has connections of its own for its grants.
+// One shard per this many connections of the worker gets a dedicated lane for its grants.
 constexpr uint32_t kConnectionsPerGrantLane = 16;
 constexpr size_t kMaxGrantLanes = 16;
 
@@ -29,8 +30,9 @@
   grant_lanes_ = std::clamp<size_t>(max_connections / kConnectionsPerGrantLane, 1, kMaxGrantLanes);
 }
 
-// The answer to a grant of a shard under a token serves every renewal of it, and no other grant. A
-// worker takes few connections: the shards beyond the first ones share some.
+// Responses to grants of the same shard and token are interchangeable, but must not be mistaken for
+// those of other grants; hence the dedicated lanes. As a worker accepts few connections, the shards
+// beyond the first `grant_lanes_` share one lane.
 std::string ShardHolder::GrantLane(const HeldShardKey& key) const {
   const auto position =
       static_cast<size_t>(std::distance(holdings_.begin(), holdings_.lower_bound(key)));
@@ -42,7 +44,7 @@
 void ShardHolder::SendGrant(const HeldShardKey& key, HeldShard* holding) {
   const Instant now = loop_.Now();
   const Duration authority = context_.AuthorityUntil() - now;
-  // The worker's clock may run slow, and it counts from the arrival.
+  // The worker's clock may be slow, and it counts from the arrival of the grant.
   const Duration hold =
       std::min(config_.hold, authority - authority / kClockRateDivisor - config_.call_timeout / 4);
   if (hold < kMinHold) return;
@@ -81,7 +83,7 @@
   if (response.has_value() && response->status == kOk) {
     holding.usable_until = std::max(holding.usable_until, sent + hold - hold / kClockRateDivisor);
   } else if (holding.refusal_unverified) {
-    // Perhaps the answer to the grant of another shard: it is asked again on its own connection.
+    // Possibly the response to another shard's grant: repeat this one on a connection of its own.
     holding.sent_at = Instant{};
   } else if (refused) {
     log_.Write(LogLevel::kWarning, "grant_refused",
@@ -89,11 +91,11 @@
                 {"last", holding.shard.last},
                 {"token", holding.shard.token},
                 {"worker", holding.worker_id}});
-    // An earlier life of this node released the keys and did not live to hand them over.
+    // An earlier run of this node released the keys but ended before it handed them over.
     holding.usable_until = Instant{};
     holding.superseded = true;
   } else {
-    // Soon again: the worker may not have it.
+    // Retry soon: the worker may not have received the grant.
     holding.sent_at = Instant{};
     holding.retry_at = loop_.Now() + config_.order_retry;
     SuspectEnd("grant-unanswered");
@@ -117,8 +119,8 @@
   KeyRelease release;
   release.first = holding->shard.first;
   release.last = holding->shard.last;
-  // Above the grants of this shard, so that one without an answer is refused when it is taken late;
-  // at most the token that the next owner gets.
+  // Above the tokens of this shard's grants, so that a grant without a response is refused if it is
+  // processed late; not above the token that the next owner gets.
   release.token = shards_.map().last_token() + 1;
   holding->call = ++order_count_;
   StartCall(
@@ -143,7 +145,7 @@
     const std::string* handover = response->headers.Find(wire_.headers().handover);
     if (handover != nullptr) holding.handover = *handover;
   } else if (GrantsExpired(holding, loop_.Now())) {
-    // A worker that cannot be reached holds the keys no more.
+    // The worker cannot be reached, and all its grants have expired.
     holding.released = true;
   } else {
     holding.retry_at = loop_.Now() + config_.order_retry;
