--- a/source/sharding/key_load.cc
+++ b/source/sharding/key_load.cc
@@ -7,12 +7,13 @@
 namespace runshelf::sharding {
 namespace {
 
-// Time constant of the decay of rates.
+// Time constant of the exponential smoothing of rates.
 constexpr double kSmoothingSeconds = 1.5;
-// Of one report: less than 1.2 kB, one packet; longer ones were lost. Of 200 busy keys a worker's
-// shard has up to 178 with 93 workers.
+// Maximum number of buckets in one report. It keeps a report below 1.2 kB, so that it fits into one
+// packet; larger ones were lost. With 93 workers and 200 busy keys, one worker's shard can contain
+// up to 178 of them.
 constexpr size_t kReportedBuckets = 160;
-// A bucket below this rate is not worth a place in the report, in requests a second.
+// Buckets below this rate, in requests per second, are not listed in a report.
 constexpr double kReportedRateMin = 0.2;
 constexpr double kTenths = 10;
 
@@ -46,7 +47,8 @@
   if (report->buckets.size() > kReportedBuckets) report->buckets.resize(kReportedBuckets);
 }
 
-// CBOR, with rates in tenths: six bytes for each bucket, so that a report fits into one packet.
+// Rates are encoded in tenths: that takes six bytes per bucket, so that a report fits into one
+// packet.
 std::string LoadReport::Serialize() const {
   nlohmann::json rows = nlohmann::json::array();
   for (const auto& [bucket, rate] : buckets) {
--- a/source/sharding/key_load.h
+++ b/source/sharding/key_load.h
@@ -1,8 +1,8 @@
-// How much work the keys of a sharded service bring, by buckets of neighbouring keys.
+// Measures and reports the load of a sharded service's keys, by buckets of adjacent keys.
 //
-// A bucket is one key. Busy keys lie near each other: of 60 keys with 280 requests a second,
-// sixteen neighbours ask for 75 a second, three times what a worker with 15 slots and runs of 0.6 s
-// completes, so that coarser buckets could not be spread.
+// A bucket is a single key, because busy keys are often adjacent: with 60 busy keys at 280 requests
+// per second, sixteen neighbours receive 75 requests per second, three times what a worker with 15
+// slots and a service time of 0.6 s completes. Coarser buckets could not be distributed.
 #pragma once
 
 #include <array>
@@ -20,28 +20,29 @@
 
 constexpr size_t BucketOf(ShardKey key) { return key / kKeysPerBucket; }
 
-// What one worker's node reports about its keys.
+// Load report of one worker's node.
 struct LoadReport {
   std::string node;
   std::string service;
   double requests_per_second = 0;
-  double service_seconds = 0;  // Smoothed time that one request holds a slot; zero: not known.
+  double service_seconds = 0;  // Smoothed time that a request occupies a slot; zero: unknown.
   uint32_t slots = 0;
   // The busiest buckets, each with its requests per second.
   std::vector<std::pair<uint32_t, double>> buckets;
 
+  // Encodes the report as CBOR; rates are rounded to tenths.
   std::string Serialize() const;
-  // False when `bytes` are no report.
+  // Returns false, and leaves `report` unchanged, when `bytes` is not a valid report.
   static bool Parse(const std::string& bytes, LoadReport* report);
 };
 
-// Counts requests by bucket with exponential decay. Deterministic; not thread-safe.
+// Measures request rates by bucket with exponential smoothing. Deterministic; not thread-safe.
 class KeyLoadMeter {
  public:
   void OnRequest(ShardKey key) { ++counts_[BucketOf(key)]; }
-  // Ends a period of counting; `elapsed` is its length.
+  // Ends the current counting period, which lasted `elapsed`, and updates the rates.
   void EndPeriod(Duration elapsed);
-  // Fills the rates and the busiest buckets of a report.
+  // Sets the total rate and the busiest buckets of `report`.
   void Fill(LoadReport* report) const;
 
  private:
--- a/source/sharding/shard_map.cc
+++ b/source/sharding/shard_map.cc
@@ -12,8 +12,8 @@
 
 absl::Status Invalid(const char* reason) { return absl::InvalidArgumentError(reason); }
 
-// A shard is the row [first, last, owner, token, handover, move_to], with a seventh value, true,
-// when it was carried over; owners are listed apart, since many shards share one.
+// A shard is encoded as the row [first, last, owner, token, handover, move_to], followed by `true`
+// if it was carried over. `owner` is an index into a separate list, since many shards share one.
 constexpr size_t kRowSize = 6;
 constexpr size_t kCarriedOverRowSize = 7;
 
@@ -123,22 +123,22 @@
   const auto token = value.find("last_token");
   const auto owners = value.find("owners");
   const auto rows = value.find("shards");
-  if (token == value.end() || !token->is_number_unsigned()) return Invalid("last_token");
-  if (owners == value.end() || !owners->is_array()) return Invalid("owners");
-  if (rows == value.end() || !rows->is_array()) return Invalid("shards");
+  if (token == value.end() || !token->is_number_unsigned()) return Invalid("last_token is invalid");
+  if (owners == value.end() || !owners->is_array()) return Invalid("owners is not an array");
+  if (rows == value.end() || !rows->is_array()) return Invalid("shards is not an array");
   ShardMap map;
   map.last_token_ = token->get<FencingToken>();
   uint64_t next_key = 0;
   for (const json& row : *rows) {
-    if (!IsShardRow(row)) return Invalid("a shard is no row of its values");
+    if (!IsShardRow(row)) return Invalid("malformed shard row");
     const auto owner_index = row[2].get<size_t>();
-    if (owner_index >= owners->size()) return Invalid("a shard names an unknown owner");
+    if (owner_index >= owners->size()) return Invalid("owner index of a shard is out of range");
     const json& owner = (*owners)[owner_index];
-    if (!IsOwnerRow(owner)) return Invalid("an owner is not a pair of names");
+    if (!IsOwnerRow(owner)) return Invalid("an owner is not a pair of strings");
     const auto first = row[0].get<uint64_t>();
     const auto last = row[1].get<uint64_t>();
     if (first != next_key || last < first || last > kMaxShardKey) {
-      return Invalid("the shards do not cover all keys once");
+      return Invalid("shards do not cover every key exactly once");
     }
     next_key = last + 1;
     Shard shard;
@@ -149,10 +149,10 @@
     shard.handover = row[4].get<std::string>();
     shard.move_to_node = row[5].get<std::string>();
     shard.carried_over = row.size() == kCarriedOverRowSize;
-    if (shard.token > map.last_token_) return Invalid("a token is above last_token");
+    if (shard.token > map.last_token_) return Invalid("token of a shard is above last_token");
     map.shards_.push_back(std::move(shard));
   }
-  if (next_key != kMaxShardKey + 1) return Invalid("the shards do not cover all keys once");
+  if (next_key != kMaxShardKey + 1) return Invalid("shards do not cover every key exactly once");
   return map;
 }
 
--- a/source/sharding/shard_map.h
+++ b/source/sharding/shard_map.h
@@ -1,7 +1,8 @@
-// Which worker owns which keys of one sharded service.
+// Assignment of the keys of one sharded service to workers.
 //
-// The map lives as one item in the store and changes only by compare-and-swap, so that every change
-// is made against the state it was decided from. Fencing tokens are drawn from the map and rise.
+// The map is a single item in the store and is changed only by compare-and-swap, so that every
+// change applies to the state that it was based on. Fencing tokens are allocated from the map in
+// ascending order.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -19,24 +20,24 @@
 
 using FencingToken = uint64_t;
 
-// A worker, and the machine it runs on.
+// A worker and the node on its machine.
 struct WorkerId {
-  std::string node;    // Name of the node beside the worker.
+  std::string node;    // Name of the node on the worker's machine.
   std::string worker;  // Identity of one incarnation of the worker; empty: none.
 
   bool operator==(const WorkerId&) const = default;
 };
 
-// Consecutive keys with one owner.
+// A range of consecutive keys with one owner.
 struct Shard {
   ShardKey first = 0;
-  ShardKey last = 0;  // Inside.
-  WorkerId owner;     // With an empty worker the shard has been given up and is free.
+  ShardKey last = 0;  // Inclusive.
+  WorkerId owner;     // An empty worker means that the shard has been given up and is free.
   FencingToken token = 0;
-  std::string handover;      // What the last holder released it with; empty when there is none.
-  std::string move_to_node;  // Node that the owner is to hand it to; empty when it stays.
-  // The map went back with the store since the owner was named: until the grants of that time have
-  // run out, another worker may hold the keys.
+  std::string handover;      // Value that the last holder returned on release; empty if none.
+  std::string move_to_node;  // Node that the owner is to hand it over to; empty if it stays.
+  // The map was carried over into a new era of the store, or created anew after a loss: until the
+  // grants of earlier eras have expired, another worker may hold the keys.
   bool carried_over = false;
 
   bool Contains(ShardKey key) const { return first <= key && key <= last; }
@@ -44,46 +45,48 @@
   bool operator==(const Shard&) const = default;
 };
 
-// Covers all keys once; shards ascend.
+// Covers every key exactly once, with shards sorted by key. Not thread-safe.
 class ShardMap {
  public:
   const std::vector<Shard>& shards() const { return shards_; }
   std::vector<Shard>& shards() { return shards_; }
   bool empty() const { return shards_.empty(); }
 
-  // The shard of the key; nullptr when the map is empty.
+  // Returns the shard that contains `key`, or nullptr when the map is empty.
   const Shard* Find(ShardKey key) const;
 
-  // Every key of `shard` belongs to its owner under its token here too, whole or in parts.
+  // Whether every key of `shard` has the same owner and token in this map, even if it was split.
   bool KeepsAssignment(const Shard& shard) const;
 
-  // Draws a token higher than every one that this map ever held.
+  // Allocates a token that is higher than all tokens that this map has ever contained.
   FencingToken NextToken() { return ++last_token_; }
   FencingToken last_token() const { return last_token_; }
-  // Tokens up to `token` were seen at a worker: later ones are drawn above.
+  // Ensures that later tokens are above `token`, for example one that a worker has reported.
   void RaiseLastToken(FencingToken token) { last_token_ = std::max(last_token_, token); }
 
-  // Makes this the map of a new era of the store, with the same owners: all tokens are new, and
-  // above `token_base`.
+  // Converts this map to one of a new store era: owners stay, and all shards get a new token, which
+  // is above `token_base`.
   void CarryOver(FencingToken token_base);
-  // The grants that were given before the map was carried over have run out.
+  // Clears the carried-over marks once all grants of earlier eras have expired.
   void EndCarryOver();
   bool HasCarriedOver() const;
 
-  // Gives a shard to a new owner under `token`, which NextToken returned after the last assignment
-  // of any of its keys.
+  // Assigns a shard to an owner under `token`, which NextToken must have returned after the last
+  // assignment of any of its keys.
   static void Assign(Shard* shard, const WorkerId& owner, FencingToken token,
                      const std::string& handover);
 
-  // Splits the shard that contains `at`, which becomes the first key of the second part; both keep
-  // owner, token and handover.
+  // Splits the shard that contains `at`, which becomes the first key of the second part. Both parts
+  // keep owner, token and handover. Does nothing if a shard already begins at `at`.
   void Split(ShardKey at);
 
-  // Joins neighbours that differ in nothing but their keys.
+  // Merges adjacent shards that differ only in their keys.
   void MergeNeighbours();
 
+  // Encodes the map as JSON.
   std::string Serialize() const;
-  // kInvalidArgument, with a reason, when `text` is no map that covers all keys once.
+  // Returns kInvalidArgument, with a reason, when `text` is not a map that covers every key exactly
+  // once.
   static absl::StatusOr<ShardMap> Parse(const std::string& text);
 
  private:
--- a/source/sharding/shard_planner.cc
+++ b/source/sharding/shard_planner.cc
@@ -28,8 +28,8 @@
   return accepting;
 }
 
-// Load of every bucket in requests a second, from the reports of all owners. What a report does not
-// list is spread evenly over the keys of its node.
+// Load of every bucket in requests per second, from the reports of all owners. Load that a report
+// does not attribute to a bucket is spread evenly over the keys of its node.
 class BucketLoads {
  public:
   BucketLoads(const ShardMap& map, const PlannerInput& input)
@@ -62,15 +62,16 @@
 
  private:
   std::vector<double> rates_;
-  std::vector<double> sums_;  // Of the rates of all buckets before.
+  std::vector<double> sums_;  // Prefix sums: total rate of all buckets before the index.
 };
 
+// Load of one worker.
 struct Usage {
   const PlannerWorker* worker = nullptr;
-  double rate = 0;             // Requests a second of its shards.
-  double service_seconds = 0;  // Of one request there.
+  double rate = 0;             // Requests per second on its shards.
+  double service_seconds = 0;  // Mean service time of a request.
 
-  // Utilization for each request a second.
+  // Utilization per request per second.
   double Slope() const { return service_seconds / std::max<uint32_t>(1, worker->slots); }
   double Utilization() const { return rate * Slope(); }
 };
@@ -79,7 +80,7 @@
   return left.Utilization() < right.Utilization();
 }
 
-// The nodes' smoothed service times; those that report none get the mean of the others.
+// The node's smoothed service time, or the mean of all reported ones if it reports none.
 double ServiceSeconds(const PlannerInput& input, const std::string& node) {
   constexpr double kUnknownServiceSeconds = 0.1;
   const auto own = input.loads.find(node);
@@ -111,7 +112,7 @@
   return usages;
 }
 
-// Of all workers together.
+// Utilization of all workers together.
 double MeanUtilization(const std::vector<Usage>& usages) {
   double used_slots = 0;
   double slots = 0;
@@ -122,7 +123,7 @@
   return slots == 0 ? 0 : used_slots / slots;
 }
 
-// Workers that a move under way leads from or to.
+// Removes workers that are the source or the target of a move in progress.
 void ExcludeMovingWorkers(const ShardMap& map, std::vector<Usage>* usages) {
   std::set<std::string> moving;
   for (const Shard& shard : map.shards()) {
@@ -134,15 +135,15 @@
                 [&](const Usage& usage) { return moving.contains(usage.worker->id.node); });
 }
 
-// Part of a shard that may move: whole buckets within it.
+// A candidate range for a move: whole buckets within a shard.
 struct Piece {
   ShardKey first = 0;
   ShardKey last = 0;
   double rate = 0;
 };
 
-// The busiest run of keys of `node` whose load is at most `limit`: whole shards, or halves of them,
-// down to one bucket.
+// The busiest key range of `node` whose load is at most `limit`, among whole shards and their
+// repeated halves down to one bucket.
 std::optional<Piece> BestPiece(const ShardMap& map, const BucketLoads& loads,
                                const std::string& node, double limit) {
   std::optional<Piece> best;
@@ -188,7 +189,7 @@
   const size_t count = workers.size() * per_worker;
   for (size_t index = 0; index < count; ++index) {
     Shard shard;
-    // Borders are borders of buckets.
+    // Shard boundaries coincide with bucket boundaries.
     shard.first = static_cast<ShardKey>(index * kBucketCount / count * kKeysPerBucket);
     shard.last = static_cast<ShardKey>((index + 1) * kBucketCount / count * kKeysPerBucket - 1);
     ShardMap::Assign(&shard, workers[index % workers.size()]->id, token, "");
@@ -198,8 +199,8 @@
   return map;
 }
 
-// The worker that has replaced the shard's owner at its machine; nullptr: none. There is one worker
-// on a machine, so that the presence of another tells that the former one ended.
+// The worker that has replaced the shard's owner on its machine, or nullptr. There is only one
+// worker on a machine, so the presence of another shows that the former one has ended.
 const PlannerWorker* ReplacementOf(const Shard& shard,
                                    const std::vector<const PlannerWorker*>& accepting) {
   if (shard.owner.worker.empty()) return nullptr;
@@ -250,7 +251,7 @@
   const bool replaced =
       std::any_of(map.shards().begin(), map.shards().end(),
                   [&](const Shard& shard) { return ReplacementOf(shard, accepting) != nullptr; });
-  std::map<std::string, size_t> orphans;  // Shards to be taken, by their node.
+  std::map<std::string, size_t> orphans;  // Number of shards without a live owner, by node.
   for (const Shard& shard : map.shards()) {
     const bool given_up = shard.owner.worker.empty();
     if (given_up || input.departed_nodes.contains(shard.owner.node)) ++orphans[shard.owner.node];
@@ -266,7 +267,8 @@
   }
   for (const auto& [node, count] : orphans) {
     std::vector<WorkerId> targets = ChooseReceivers(map, input, node, count);
-    // A worker that is alone in its service, and has come back, is the only one that can take them.
+    // The only worker of a service takes back its own node's shards after its return, as no other
+    // worker can.
     if (targets.empty()) targets = ChooseReceivers(map, input, "", count);
     if (targets.empty()) continue;
     size_t next = 0;
@@ -275,7 +277,7 @@
       if (shard.owner.node != node) continue;
       if (!given_up && !input.departed_nodes.contains(node)) continue;
       if (!given_up) plan.nodes_assumed_absent.insert(node);
-      // A shard that was given up may have been released with a handover, which stays.
+      // A shard that was given up may carry the handover of its release, which is kept.
       ShardMap::Assign(&shard, targets[next++ % targets.size()], token,
                        given_up ? shard.handover : std::string());
       plan.changed = true;
@@ -315,7 +317,8 @@
     const auto least = std::min_element(usages.begin(), usages.end(), ByUtilization);
     const double gap = most->Utilization() - least->Utilization();
     if (most->Utilization() < config.busy_utilization || gap < config.utilization_gap) break;
-    // Moving `rate` lowers one and raises the other; half of the gap makes them even.
+    // A move of `rate` lowers the utilization of one worker and raises that of the other; moving
+    // gap / slope makes them equal.
     const double slope = most->Slope() + least->Slope();
     const double room = std::max(0.0, receiver_limit - least->Utilization()) / least->Slope();
     const auto piece =
--- a/source/sharding/shard_planner.h
+++ b/source/sharding/shard_planner.h
@@ -1,5 +1,5 @@
-// Decides which changes a shard map needs: first assignment, workers that are gone, and balance of
-// the measured load. Free of input and output; any node may plan, compare-and-swap decides.
+// Plans changes of a shard map: first assignment, replacement of departed workers and balancing of
+// the measured load. Performs no I/O. Any node may plan; compare-and-swap decides which plan wins.
 #pragma once
 
 #include <cstdint>
@@ -13,65 +13,71 @@
 
 namespace runshelf::sharding {
 
+// A worker as the planner sees it.
 struct PlannerWorker {
   WorkerId id;
   uint32_t slots = 0;
-  bool accepting = true;  // False: known, and takes no further keys.
+  bool accepting = true;  // Whether it accepts further keys.
 };
 
+// Everything that a plan depends on besides the map.
 struct PlannerInput {
-  std::vector<PlannerWorker> workers;       // Of the live nodes, each with its current worker.
-  std::set<std::string> departed_nodes;     // Without a lease in the store.
-  std::map<std::string, LoadReport> loads;  // The latest report of each node.
-  // Of a new map: tokens up to this one may be known to workers.
+  std::vector<PlannerWorker> workers;       // The current worker of each live node.
+  std::set<std::string> departed_nodes;     // Nodes that own shards but have no item in the store.
+  std::map<std::string, LoadReport> loads;  // Latest report by node.
+  // Workers may know tokens up to this one; a new map starts above it.
   FencingToken token_base = 0;
-  // Of a new map: grants of one that was lost may still be in force.
+  // Whether grants from a map that was lost may still be valid when a new map is created.
   bool former_grants_may_be_valid = false;
 };
 
+// Settings of the planner.
 struct PlannerConfig {
-  // Shards of a new map, all together; each worker gets at least and at most so many. Neighbouring
-  // busy keys are spread from the start, and the map stays small with many workers.
+  // Total number of shards in a new map, and its bounds per worker. Many shards spread adjacent
+  // busy keys from the start; the bounds keep the map small when there are many workers.
   size_t initial_shards = 192;
   size_t initial_shards_per_worker_min = 4;
   size_t initial_shards_per_worker_max = 32;
-  // Balance starts when the most and the least used worker differ by more than this part of their
-  // slots, and the most used one is above `busy_utilization`: below, hardly anything waits there,
-  // and moves cost more than they bring.
+  // Balancing starts when the utilization of the most and the least utilized worker differs by at
+  // least this much and the most utilized one is at `busy_utilization` or above. Below that, hardly
+  // any request queues, and moves cost more than they gain.
   double utilization_gap = 0.15;
   double busy_utilization = 0.5;
-  // Of one round: at least so many, and one for so many workers. A worker takes part in one round
-  // at a time; its moves take as long as what runs on the keys, often more than a second.
+  // Maximum moves per round: one per `workers_per_move` workers, but at least
+  // `moves_per_round_min`. A worker takes part in one round at a time, and a move takes until the
+  // requests on its keys have ended, often more than a second.
   size_t moves_per_round_min = 6;
   size_t workers_per_move = 4;
-  // A move leaves its receiver below this utilization, or below that of all workers together:
-  // pieces of a busy range then go to as many workers as it takes, in one round.
+  // A move must leave its receiver at or below this utilization, or slightly above the mean of all
+  // workers if that is higher. Parts of a busy range thus go to as many workers as needed in one
+  // round.
   double receiver_utilization = 0.6;
-  // A map with more shards than both is not split further.
+  // A map with more shards than both limits allow is not split further.
   size_t max_shards = 400;
   size_t max_shards_per_worker = 16;
 };
 
+// Result of planning; `map` is meaningful only if `changed` is true.
 struct Plan {
   bool changed = false;
   ShardMap map;
-  std::set<std::string>
-      nodes_assumed_absent;  // Nodes whose shards were taken without their consent.
-  std::string reason;        // For the log.
+  // Nodes whose shards are reassigned without a release, on condition that they are absent.
+  std::set<std::string> nodes_assumed_absent;
+  std::string reason;  // For the log.
 };
 
-// Changes of ownership that must not wait: the first assignment, shards that were given up, shards
-// of departed nodes, and shards of a worker that another one at its machine has replaced. Shards of
-// live nodes never go to another node.
+// Plans the changes of ownership that are urgent: the first assignment, shards that were given up,
+// shards of departed nodes, and shards of a worker that another one on its machine has replaced.
+// Shards of live nodes are never assigned to another node.
 Plan PlanRepair(const ShardMap& map, const PlannerInput& input, const PlannerConfig& config);
 
-// Marks shards to be moved from busy workers to idle ones, splitting them where needed. Workers
-// with a move under way are left alone. A worker whose load cannot be divided, such as that of one
-// key, does not keep the others from relief.
+// Marks shards for a move from busy workers to idle ones, splitting them where needed. Workers with
+// a move in progress are excluded. A worker whose load cannot be divided, for example because it is
+// caused by a single key, does not prevent moves from other workers.
 Plan PlanBalance(const ShardMap& map, const PlannerInput& input, const PlannerConfig& config);
 
-// The worker that should take the next shard of `worker` when that one leaves; spread by what each
-// owns. Empty when no other accepts.
+// Chooses a worker for each of `shard_count` shards of `leaving_node`, balanced by the load that
+// each worker has already. Empty when no other worker accepts keys.
 std::vector<WorkerId> ChooseReceivers(const ShardMap& map, const PlannerInput& input,
                                       const std::string& leaving_node, size_t shard_count);
 
