--- a/tests/platform_adapter/heartbeat_grants_test.cc
+++ b/tests/platform_adapter/heartbeat_grants_test.cc
@@ -59,7 +59,7 @@
   CHECK_EQUAL(1, Lease(Next()).keys.size());
   CHECK(taken->usable_until == Instant{});
   CHECK(kept->usable_until > now);
-  // It is not given up by that: the change may fail.
+  // The shard is not released by this, since the change may fail.
   settled = [](const sharding::Shard&) { return true; };
   CHECK_EQUAL(2, Lease(Next()).keys.size());
 }
@@ -67,7 +67,7 @@
 TEST(HeartbeatGrants, AShardIsUsableLessLongThanItMayBeHeld) {
   HeldShard* held = Add(0, 99, 3);
   Lease(Next());
-  // The worker counts from the sending, and its clock may be 2% slow.
+  // The worker counts from when it sent the heartbeat, and its clock may be 2% slow.
   CHECK(held->usable_until == now + kHold - kHold / 50 - kAnswerWindow);
   CHECK(held->held_until == now + kHold + kHold / 50);
 }
@@ -96,7 +96,7 @@
   CHECK_FALSE(grants.OnReport(told, &shards));
   CHECK(Lease(told, AlwaysMoves).keys.empty());
   CHECK(held->usable_until == Instant{});
-  // The same heartbeat again, and one in which the worker still works on some of the keys.
+  // A duplicate of the heartbeat, and one in which the worker still processes some of the keys.
   CHECK_FALSE(grants.OnReport(told, &shards));
   CHECK_FALSE(grants.OnReport(Next({{40, 50, 3}}), &shards));
   CHECK_FALSE(held->released);
@@ -138,7 +138,7 @@
   CHECK(Lease(other).keys.empty());
 }
 
-// Rows that are not there yet wait; rows that the worker holds are never dropped for them.
+// New rows wait until they fit; rows that the worker already holds are never omitted for them.
 TEST(HeartbeatGrants, AnAnswerNeverExceedsItsSizeLimit) {
   std::vector<HeldKeys> held_rows;
   for (uint32_t index = 0; index < 100; ++index) {
@@ -159,8 +159,8 @@
   }
 }
 
-// 43 workers, a hot range that wanders, a balance round each time: every answer fits, and nothing
-// has to be left out.
+// With 43 workers, a moving hot range and a balancing round for each move of it, every response
+// stays within the size limit and no row is omitted.
 TEST(HeartbeatGrants, ABusyPlannerStaysWithinOneAnswerForEachWorker) {
   SeededRandom random(11);
   sharding::PlannerInput input;
--- a/tests/sharding/shard_map_test.cc
+++ b/tests/sharding/shard_map_test.cc
@@ -59,7 +59,7 @@
   ShardMap renewed = split;
   renewed.shards()[0].token = 5;
   CHECK_FALSE(renewed.KeepsAssignment(shard));
-  // What happens to the keys of others does not matter.
+  // Changes to other shards do not matter.
   ShardMap others = TwoShards();
   others.shards()[1].owner.worker.clear();
   CHECK(others.KeepsAssignment(shard));
@@ -71,7 +71,8 @@
   CHECK_EQUAL(6, map.NextToken());
 }
 
-// A worker that held keys in the former era got them again under a token that it had seen.
+// Guards against granting a worker keys in the new era under a token that it has already seen in
+// the earlier one.
 TEST(ShardMap, AMapThatIsCarriedOverHasNewTokensAndTheSameOwners) {
   const ShardMap former = TwoShards();
   ShardMap map = former;
--- a/tests/sharding/shard_planner_test.cc
+++ b/tests/sharding/shard_planner_test.cc
@@ -28,7 +28,7 @@
   return keys;
 }
 
-// Reports as the owners of the map would measure them, given the rate of each bucket.
+// Sets the load reports that the owners in the map would send, given the rate of each bucket.
 void Measure(const ShardMap& map, const std::map<uint32_t, double>& rates, PlannerInput* input) {
   input->loads.clear();
   for (const PlannerWorker& worker : input->workers) {
@@ -45,7 +45,7 @@
   }
 }
 
-// Carries out the moves that a plan marked.
+// Executes the moves that a plan has marked.
 ShardMap ApplyMoves(ShardMap map) {
   const FencingToken token = map.NextToken();
   for (Shard& shard : map.shards()) {
@@ -133,7 +133,7 @@
 TEST(ShardPlanner, BalanceSpreadsAHotRange) {
   PlannerInput input = Fleet(4);
   ShardMap map = PlanRepair({}, input, config).map;
-  // Neighbouring buckets, all with one owner, carry most of the load.
+  // Adjacent buckets with a single owner carry most of the load.
   std::map<uint32_t, double> rates;
   for (uint32_t bucket = 0; bucket < 12; ++bucket) rates[bucket] = 12;
   for (uint32_t bucket = 100; bucket < kBucketCount; bucket += 50) rates[bucket] = 1;
@@ -150,7 +150,7 @@
     most = std::max(most, report.requests_per_second);
     least = std::min(least, report.requests_per_second);
   }
-  CHECK_TEXT((most - least) * 0.1 / 18 <= 0.2, "the workers' use differs by more than a fifth");
+  CHECK_TEXT((most - least) * 0.1 / 18 <= 0.2, "worker utilization differs by more than 20%");
 }
 
 TEST(ShardPlanner, BalanceLeavesAnIdleFleetAndMovesUnderWayAlone) {
@@ -160,7 +160,8 @@
   CHECK_FALSE(PlanBalance(map, input, config).changed);
   Measure(map, {{0, 90.0}, {1, 90.0}}, &input);
   CHECK(PlanBalance(map, input, config).changed);
-  // A move from the busy worker, or to every other one, has to end first.
+  // A move in progress from the busy worker, or moves that involve every other one, prevent
+  // another.
   ShardMap moving = map;
   Shard& of_busy = *std::find_if(moving.shards().begin(), moving.shards().end(),
                                  [](const Shard& shard) { return shard.owner.node == "n0"; });
@@ -174,7 +175,8 @@
   CHECK_FALSE(PlanBalance(moving, input, config).changed);
 }
 
-// While one worker hands keys over, which takes as long as what runs on them, others must not wait.
+// A handover takes until the requests on the keys have ended; balancing between other workers must
+// not wait for it.
 TEST(ShardPlanner, WorkersWithoutAMoveUnderWayAreRelievedMeanwhile) {
   PlannerInput input = Fleet(4);
   ShardMap map = PlanRepair({}, input, config).map;
@@ -191,7 +193,7 @@
   }
 }
 
-// One key has one owner, however busy it is.
+// A single key cannot be split between owners, however busy it is.
 TEST(ShardPlanner, AWorkerWhoseLoadCannotBeDividedDoesNotKeepOthersFromRelief) {
   PlannerInput input = Fleet(6);
   const ShardMap map = PlanRepair({}, input, config).map;
@@ -201,7 +203,7 @@
         ->first;
   };
   std::map<uint32_t, double> rates;
-  rates[first_key_of("n0")] = 900;  // Five times what a worker completes.
+  rates[first_key_of("n0")] = 900;  // Five times a worker's capacity.
   for (uint32_t key = 0; key < 20; ++key) rates[first_key_of("n1") + key] = 15;
   Measure(map, rates, &input);
   const Plan plan = PlanBalance(map, input, config);
@@ -212,8 +214,8 @@
   CHECK(relieved);
 }
 
-// 60 neighbouring keys with 280 requests a second: with runs of 0.6 s and 15 slots that is the work
-// of twelve workers at full use, all of it with one of 93.
+// 60 adjacent keys with 280 requests per second. With a service time of 0.6 s and 15 slots per
+// worker this is the capacity of about twelve workers, but at first one of 93 owns all the keys.
 TEST(ShardPlanner, ASetOfBusyNeighboursIsSpreadInTwoRounds) {
   constexpr double kServiceSeconds = 0.6;
   constexpr uint32_t kSlots = 15;
@@ -236,7 +238,8 @@
   }
 }
 
-// All machines lost power: each node has a new worker, and one change serves them all.
+// After all machines have lost power, every node has a new worker; a single change must reassign
+// the shards of all of them.
 TEST(ShardPlanner, ShardsOfReplacedWorkersGoToTheirSuccessorsInOneChange) {
   PlannerInput input = Fleet(5);
   const ShardMap map = PlanRepair({}, input, config).map;
@@ -259,8 +262,8 @@
   CHECK_FALSE(PlanRepair(plan.map, input, config).changed);
 }
 
-// Whatever happens to the fleet, each change leaves one owner for each key, and a key that changes
-// hands gets a token above all that were ever drawn.
+// After any sequence of fleet changes, each plan leaves exactly one owner per key, and a key that
+// changes its owner gets a token above all earlier ones.
 TEST(ShardPlanner, EveryPlanYieldsAValidMap) {
   const bool held = rc::check([this] {
     PlannerInput input = Fleet(*rc::gen::inRange<size_t>(1, 6));
--- a/tests/sidecar/conflict_backoff_test.cc
+++ b/tests/sidecar/conflict_backoff_test.cc
@@ -1,5 +1,5 @@
-// Many nodes change one item by compare-and-swap at the same time, in virtual time: a call takes 4
-// ms to the store and 4 ms back, and a conflict brings the item as it is.
+// Simulates many nodes that change one item by compare-and-swap at the same time, in virtual time.
+// A call takes 4 ms to the store and 4 ms back, and a conflict response carries the current item.
 #include "source/sidecar/conflict_backoff.h"
 
 #include <CppUTest/TestHarness.h>
@@ -56,7 +56,7 @@
     At(writer.backoff.Wait(random, /*defers_to_planner=*/false), [this, index] { Try(index); });
   }
 
-  // Returns how long it takes until all of `count` writers that begin together are done.
+  // Returns how long `count` writers that start within 300 ms take until all have committed.
   Duration Run(size_t count) {
     const Instant start = now;
     writers.resize(count);
--- a/tests/sidecar/shard_map_key_test.cc
+++ b/tests/sidecar/shard_map_key_test.cc
@@ -33,7 +33,8 @@
   CHECK_FALSE(version.OlderThan({"keyed", 1}, MakeRevision(1, 900)));
 }
 
-// A restored map was taken for a newer one, and a move that had been done was made again.
+// Guards against taking a map from a restored store for a newer one, which repeated a move that had
+// already been made.
 TEST(ShardMapKeys, ARestoredCopyOfAFormerErasMapIsNotNewer) {
   const ShardMapVersion known{1, MakeRevision(1, 40)};
   CHECK_FALSE(known.OlderThan({"keyed", 1}, MakeRevision(2, 38)));
