--- a/source/sidecar/worker_monitor.cc
+++ b/source/sidecar/worker_monitor.cc
@@ -450,9 +450,9 @@
     return;
   }
   // Only a refused connection, with no other connection open, shows that the worker ended. A worker
-  // at its connection limit resets new connections instead of refusing them, and one that closed its
-  // listening socket may still process requests or hold keys, which must not be granted to others
-  // before its grants have expired.
+  // at its connection limit resets new connections instead of refusing them, and one that closed
+  // its listening socket may still process requests or hold keys, which must not be granted to
+  // others before its grants have expired.
   const bool refused = failure == http::ClientFailure::kRefused && ConnectionsEnded();
   refused_probes_ = refused ? refused_probes_ + 1 : 0;
   ++failed_probes_;
