--- a/source/http/client.cc
+++ b/source/http/client.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // However slowly an answer arrives, a call lasts no longer than this many of its timeouts.
-constexpr int kLongestAnswerInTimeouts = 10;
+constexpr int kMaxAnswerTimeouts = 10;
 
 // Share of the server's Keep-Alive time after which an idle connection is not used any more: the
 // server counts from when it sent its answer, and may close early.
@@ -18,7 +18,7 @@
 // Of what the latest answers on a connection were known by.
 constexpr size_t kRememberedValues = 64;
 // After an answer that names no request, the own one is waited for so long.
-constexpr Duration kUnnamedAnswerGrace = std::chrono::milliseconds(250);
+constexpr Duration kUnidentifiedAnswerTimeout = std::chrono::milliseconds(250);
 
 // Of an answer that came a second time nobody could tell whether it has a body.
 bool NeedsOwnConnection(const CallOptions& options) {
@@ -194,7 +194,8 @@
       const std::string* value = head.headers.Find(options_.answer_match.header());
       Report(UnexpectedAnswer::Kind::kSkipped, value == nullptr ? std::string() : *value);
       // It may be the own one of a server that left the header out.
-      if (value == nullptr && options_.answer_match.by_value()) timer_.Start(kUnnamedAnswerGrace);
+      if (value == nullptr && options_.answer_match.by_value())
+        timer_.Start(kUnidentifiedAnswerTimeout);
       return;
     }
     timer_.Stop();
@@ -426,7 +427,7 @@
     : wait_while_answer_arrives_(options.wait_while_answer_arrives),
       timeout_(timeout),
       loop_(loop),
-      give_up_at_(loop.Now() + timeout * kLongestAnswerInTimeouts),
+      give_up_at_(loop.Now() + timeout * kMaxAnswerTimeouts),
       callback_(std::move(callback)),
       timer_(loop, [this] { OnClientFailure(ClientFailure::kBroken); }) {
   timer_.Start(timeout);
--- a/source/http/message.cc
+++ b/source/http/message.cc
@@ -190,7 +190,7 @@
   }
 
   // An answer that broke off in its head, with another one after it.
-  bool GoesOnAsAnotherAnswer() const {
+  bool ContainsSecondResponse() const {
     const auto contains = [](const Header& header) { return ContainsStatusLine(header.value); };
     return ContainsStatusLine(reason) ||
            std::any_of(headers.all().begin(), headers.all().end(), contains);
@@ -208,7 +208,7 @@
       self.owner->observer_->OnRequestHead(std::move(head));
       return 0;
     }
-    if (self.GoesOnAsAnotherAnswer()) return kStopParsing;
+    if (self.ContainsSecondResponse()) return kStopParsing;
     // An interim answer is no answer yet, and has no body; its completion is swallowed.
     if (parser->status_code / 100 == 1) return kWithoutBody;
     ResponseHead head;
