--- a/source/sidecar/freshness_tracker.cc
+++ b/source/sidecar/freshness_tracker.cc
@@ -5,12 +5,12 @@
 namespace runshelf::sidecar {
 namespace {
 
-constexpr Duration kAnnouncementHolds = std::chrono::seconds(5);
+constexpr Duration kAnnouncementLifetime = std::chrono::seconds(5);
 
 }  // namespace
 
 void FreshnessTracker::OnAnnounced(Instant now, store::Revision announced) {
-  if (announced >= announced_ || now - announced_at_ > kAnnouncementHolds) {
+  if (announced >= announced_ || now - announced_at_ > kAnnouncementLifetime) {
     announced_ = announced;
     announced_at_ = now;
   }
--- a/source/sidecar/peer_directory.cc
+++ b/source/sidecar/peer_directory.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // A node without an item is kept while it answers: leases run out when the store is away.
-constexpr Duration kKeptWhileAnswering = std::chrono::seconds(3);
+constexpr Duration kUnlistedNodeRetention = std::chrono::seconds(3);
 // Answers younger than this make a node a candidate for passing calls to the store on.
 constexpr Duration kRelayAnswerAge = std::chrono::seconds(10);
 
@@ -117,8 +117,8 @@
                           [&](const auto& entry) {
                             const Peer& peer = entry.second;
                             return !peer.listed &&
-                                   now - peer.unlisted_since > kKeptWhileAnswering &&
-                                   now - peer.answered_at > kKeptWhileAnswering;
+                                   now - peer.unlisted_since > kUnlistedNodeRetention &&
+                                   now - peer.answered_at > kUnlistedNodeRetention;
                           }) > 0 ||
             changed;
   if (changed) targets_built_ = false;
