--- a/source/sidecar/feed_messages.cc
+++ b/source/sidecar/feed_messages.cc
@@ -15,7 +15,7 @@
   return json::binary(std::vector<uint8_t>(text.begin(), text.end()));
 }
 
-bool ReadEvent(const json& row, PassedOnEvent* passed_on) {
+bool ReadEvent(const json& row, ForwardedEvent* passed_on) {
   store::WatchEvent* event = &passed_on->event;
   if (!row.is_array() || row.size() != 6) return false;
   if (!row[0].is_string() || !row[1].is_number_integer() || !row[2].is_number_integer() ||
@@ -34,8 +34,8 @@
 
 }  // namespace
 
-PassedOnChanges Whole(const store::ChangeSet& changes) {
-  PassedOnChanges result;
+ForwardedChanges WithFullValues(const store::ChangeSet& changes) {
+  ForwardedChanges result;
   result.complete = changes.complete;
   result.from = changes.from;
   result.to = changes.to;
@@ -55,13 +55,13 @@
   return changes;
 }
 
-std::optional<store::ChangeSet> ApplyPatches(const PassedOnChanges& changes,
+std::optional<store::ChangeSet> ApplyPatches(const ForwardedChanges& changes,
                                              const std::map<std::string, store::Item>& items) {
   store::ChangeSet result;
   result.complete = changes.complete;
   result.from = changes.from;
   result.to = changes.to;
-  for (const PassedOnEvent& passed_on : changes.events) {
+  for (const ForwardedEvent& passed_on : changes.events) {
     store::WatchEvent event = passed_on.event;
     if (passed_on.base_revision != 0) {
       const auto base = items.find(event.item.key);
@@ -102,9 +102,9 @@
   return beacon;
 }
 
-std::string SerializeChanges(const std::string& prefix, const PassedOnChanges& changes) {
+std::string SerializeChanges(const std::string& prefix, const ForwardedChanges& changes) {
   json events = json::array();
-  for (const PassedOnEvent& passed_on : changes.events) {
+  for (const ForwardedEvent& passed_on : changes.events) {
     const store::WatchEvent& event = passed_on.event;
     events.push_back({event.item.key, event.item.revision, event.item.lease, event.removed,
                       ToBinary(event.item.value), passed_on.base_revision});
@@ -118,7 +118,7 @@
   return {bytes.begin(), bytes.end()};
 }
 
-bool ParseChanges(std::string_view text, std::string* prefix, PassedOnChanges* changes) {
+bool ParseChanges(std::string_view text, std::string* prefix, ForwardedChanges* changes) {
   const json body = json::from_cbor(text.begin(), text.end(), /*strict=*/true,
                                     /*allow_exceptions=*/false);
   if (!body.is_object()) return false;
@@ -136,7 +136,7 @@
   changes->to = body["to"].get<store::Revision>();
   changes->events.clear();
   for (const json& row : body["events"]) {
-    PassedOnEvent event;
+    ForwardedEvent event;
     if (!ReadEvent(row, &event)) return false;
     changes->events.push_back(std::move(event));
   }
--- a/source/sidecar/feed_messages.h
+++ b/source/sidecar/feed_messages.h
@@ -22,32 +22,32 @@
 };
 
 // A change of the state as one node passes it on to another.
-struct PassedOnEvent {
+struct ForwardedEvent {
   store::WatchEvent event;
   // Zero: the value is whole. Else it is a text patch of the value at this revision.
   store::Revision base_revision = 0;
 };
 
-struct PassedOnChanges {
+struct ForwardedChanges {
   bool complete = false;  // The events are all items; see store::ChangeSet.
   store::Revision from = 0;
   store::Revision to = 0;
-  std::vector<PassedOnEvent> events;
+  std::vector<ForwardedEvent> events;
 };
 
 // All values whole.
-PassedOnChanges Whole(const store::ChangeSet& changes);
+ForwardedChanges WithFullValues(const store::ChangeSet& changes);
 // Leaves out changes that a later one of the same item in the set replaces: a patch that started
 // from them would find another value at the receivers.
 store::ChangeSet LatestOfEachItem(store::ChangeSet changes);
 // Replaces patches by values, from the receiver's copy of the items; nullopt: it does not have the
 // value that a patch starts from.
-std::optional<store::ChangeSet> ApplyPatches(const PassedOnChanges& changes,
+std::optional<store::ChangeSet> ApplyPatches(const ForwardedChanges& changes,
                                              const std::map<std::string, store::Item>& items);
 
 // Forms of a change set between nodes: CBOR, since values may hold any bytes.
-std::string SerializeChanges(const std::string& prefix, const PassedOnChanges& changes);
+std::string SerializeChanges(const std::string& prefix, const ForwardedChanges& changes);
 // Returns false when `text` is no change set.
-bool ParseChanges(std::string_view text, std::string* prefix, PassedOnChanges* changes);
+bool ParseChanges(std::string_view text, std::string* prefix, ForwardedChanges* changes);
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/feed_transport.cc
+++ b/source/sidecar/feed_transport.cc
@@ -53,15 +53,15 @@
   http::RequestHead head = MessageHead();
   peer_protocol::MarkChangeSet(&head.headers);
   if (receiver.reads_for_zone) peer_protocol::MarkForZone(&head.headers);
-  peer_protocol::MarkPassOnTo(receiver.pass_on_to, &head.headers);
+  peer_protocol::MarkPassOnTo(receiver.forward_to, &head.headers);
   peer_protocol::MarkFailedReaders(receiver.failed, &head.headers);
   calls_.Start(receiver.endpoint, http::SerializeRequest(head, changes),
                http::CallOptions(http::AnswerMatch::InOrder(), "changes"), timeout,
                AnswerTo(std::move(callback)));
 }
 
-void NetworkFeedTransport::AskForCopy(const event::Endpoint& source, const std::string& prefix,
-                                      Duration timeout, Callback callback) {
+void NetworkFeedTransport::FetchSnapshot(const event::Endpoint& source, const std::string& prefix,
+                                         Duration timeout, Callback callback) {
   http::RequestHead head = MessageHead();
   peer_protocol::MarkSnapshotRequest(prefix, &head.headers);
   http::CallOptions options(http::AnswerMatch::InOrder(), "copy");
--- a/source/sidecar/feed_transport.h
+++ b/source/sidecar/feed_transport.h
@@ -35,8 +35,8 @@
                            Duration timeout, Callback callback) = 0;
   // Asks for the copy that a node has of a prefix. `timeout` is for the first byte of the answer,
   // and between its parts.
-  virtual void AskForCopy(const event::Endpoint& source, const std::string& prefix,
-                          Duration timeout, Callback callback) = 0;
+  virtual void FetchSnapshot(const event::Endpoint& source, const std::string& prefix,
+                             Duration timeout, Callback callback) = 0;
 };
 
 // Beacons by UDP, everything else by the kept connections between nodes.
@@ -50,8 +50,8 @@
   void SendBeacon(const std::string& ip_address, std::string_view beacon) override;
   void SendChanges(const FeedReceiver& receiver, const std::string& changes, Duration timeout,
                    Callback callback) override;
-  void AskForCopy(const event::Endpoint& source, const std::string& prefix, Duration timeout,
-                  Callback callback) override;
+  void FetchSnapshot(const event::Endpoint& source, const std::string& prefix, Duration timeout,
+                     Callback callback) override;
 
  private:
   std::string ip_address_;
--- a/source/sidecar/feed_tree.cc
+++ b/source/sidecar/feed_tree.cc
@@ -13,17 +13,17 @@
 
 }  // namespace
 
-LinePlace PlaceInLine(const NodeRecord& record) {
+CandidateRank RankOf(const NodeRecord& record) {
   return {record.processor_percent, record.link_megabits,
           XXH64(record.node.data(), record.node.size(), 0)};
 }
 
 FeedTree::FeedTree(const PeerDirectory& peers, std::string own_node, std::string own_zone,
-                   Duration pass_over_for)
+                   Duration failure_holdoff)
     : peers_(peers),
       own_node_(std::move(own_node)),
       own_zone_(std::move(own_zone)),
-      pass_over_for_(pass_over_for) {}
+      failure_holdoff_(failure_holdoff) {}
 
 FeedReceiver FeedTree::ReceiverAt(const Peer& peer) const {
   FeedReceiver receiver;
@@ -35,10 +35,10 @@
   return receiver;
 }
 
-std::vector<std::string> FeedTree::Line() const {
-  std::vector<std::pair<LinePlace, std::string>> places;
+std::vector<std::string> FeedTree::LeaderCandidates() const {
+  std::vector<std::pair<CandidateRank, std::string>> places;
   for (const auto& [node, peer] : peers_.peers()) {
-    if (MayRead(peer)) places.emplace_back(PlaceInLine(peer.record), node);
+    if (MayRead(peer)) places.emplace_back(RankOf(peer.record), node);
   }
   std::sort(places.begin(), places.end(),
             [](const auto& left, const auto& right) { return left.first < right.first; });
@@ -49,29 +49,29 @@
 }
 
 size_t FeedTree::NodesBefore(const NodeRecord& record) const {
-  const LinePlace place = PlaceInLine(record);
+  const CandidateRank place = RankOf(record);
   return static_cast<size_t>(
       std::count_if(peers_.peers().begin(), peers_.peers().end(), [&](const auto& entry) {
-        return MayRead(entry.second) && PlaceInLine(entry.second.record) < place;
+        return MayRead(entry.second) && RankOf(entry.second.record) < place;
       }));
 }
 
-bool FeedTree::PassedOver(Instant now, const std::string& node) const {
-  const auto failed = passed_over_until_.find(node);
-  return failed != passed_over_until_.end() && now < failed->second;
+bool FeedTree::RecentlyFailed(Instant now, const std::string& node) const {
+  const auto failed = avoided_until_.find(node);
+  return failed != avoided_until_.end() && now < failed->second;
 }
 
-std::vector<std::string> FeedTree::PassedOverIn(Instant now, const std::string& zone) const {
+std::vector<std::string> FeedTree::RecentlyFailedIn(Instant now, const std::string& zone) const {
   std::vector<std::string> nodes;
-  for (const auto& [node, until] : passed_over_until_) {
+  for (const auto& [node, until] : avoided_until_) {
     const Peer* peer = peers_.Find(node);
     if (now < until && peer != nullptr && peer->record.zone == zone) nodes.push_back(node);
   }
   return nodes;
 }
 
-std::tuple<bool, bool, LinePlace> FeedTree::OrderOf(Instant now, const Peer& peer) const {
-  return {PassedOver(now, peer.record.node), !MayRead(peer), PlaceInLine(peer.record)};
+std::tuple<bool, bool, CandidateRank> FeedTree::OrderOf(Instant now, const Peer& peer) const {
+  return {RecentlyFailed(now, peer.record.node), !MayRead(peer), RankOf(peer.record)};
 }
 
 std::vector<FeedReceiver> FeedTree::InOrder(Instant now, std::vector<const Peer*> peers) const {
@@ -115,7 +115,7 @@
 }
 
 void FeedTree::OnReaderFailed(Instant now, const std::string& node) {
-  passed_over_until_[node] = now + pass_over_for_;
+  avoided_until_[node] = now + failure_holdoff_;
 }
 
 std::optional<FeedReceiver> FeedTree::ReaderOf(Instant now, const std::string& zone) const {
--- a/source/sidecar/feed_tree.h
+++ b/source/sidecar/feed_tree.h
@@ -23,18 +23,18 @@
 // sooner. Machines with more processor time and wider links go first: the work of the first ones
 // grows with the fleet, while others may have a tenth of a core. Then by a hash of the name:
 // neighbours by name are often in one zone, and are cut off or lost together.
-struct LinePlace {
+struct CandidateRank {
   uint32_t processor_percent = 0;  // Of one core.
   uint32_t link_megabits = 0;      // A second.
   uint64_t name_hash = 0;
 
-  bool operator<(const LinePlace& other) const {
+  bool operator<(const CandidateRank& other) const {
     return std::tie(other.processor_percent, other.link_megabits, name_hash) <
            std::tie(processor_percent, link_megabits, other.name_hash);
   }
 };
 
-LinePlace PlaceInLine(const NodeRecord& record);
+CandidateRank RankOf(const NodeRecord& record);
 
 // A node that a change is sent to.
 struct FeedReceiver {
@@ -43,26 +43,26 @@
   std::string zone;
   uint32_t link_megabits = 0;           // Of its machine; zero: not known.
   bool reads_for_zone = false;          // It is asked to pass the change on to its zone.
-  std::vector<std::string> pass_on_to;  // Nodes that it is asked to pass the change on to.
+  std::vector<std::string> forward_to;  // Nodes that it is asked to pass the change on to.
   std::vector<std::string> failed;      // Nodes of its zone that it should not rely on.
 };
 
 // Deterministic; not thread-safe.
 class FeedTree {
  public:
-  // `pass_over_for`: how long a node that failed is not relied on. It may be frozen or cut off for
-  // some seconds, and asking it again costs its zone the wait for an answer each time.
+  // `failure_holdoff`: how long a node that failed is not relied on. It may be frozen or cut off
+  // for some seconds, and asking it again costs its zone the wait for an answer each time.
   FeedTree(const PeerDirectory& peers, std::string own_node, std::string own_zone,
-           Duration pass_over_for = std::chrono::seconds(3));
+           Duration failure_holdoff = std::chrono::seconds(3));
 
   // The nodes that may lead the feed or read for their zones, in order.
-  std::vector<std::string> Line() const;
+  std::vector<std::string> LeaderCandidates() const;
   // How many of them go before the node of `record`, which need not be among them.
   size_t NodesBefore(const NodeRecord& record) const;
   // The node failed lately.
-  bool PassedOver(Instant now, const std::string& node) const;
+  bool RecentlyFailed(Instant now, const std::string& node) const;
   // The nodes of a zone that did.
-  std::vector<std::string> PassedOverIn(Instant now, const std::string& zone) const;
+  std::vector<std::string> RecentlyFailedIn(Instant now, const std::string& zone) const;
   // The readers of the other zones, whom the origin of a change sends it to besides its own zone.
   std::vector<FeedReceiver> ReadersOfOtherZones(Instant now) const;
   // Whom a reader passes it on to: those first that may best pass it on themselves.
@@ -82,14 +82,14 @@
   FeedReceiver ReceiverAt(const Peer& peer) const;
   // Sooner is better: nodes that may read go before those that stop or lost their item, and among
   // either kind those that failed lately go last.
-  std::tuple<bool, bool, LinePlace> OrderOf(Instant now, const Peer& peer) const;
+  std::tuple<bool, bool, CandidateRank> OrderOf(Instant now, const Peer& peer) const;
   std::vector<FeedReceiver> InOrder(Instant now, std::vector<const Peer*> peers) const;
 
   const PeerDirectory& peers_;
   std::string own_node_;
   std::string own_zone_;
-  Duration pass_over_for_;
-  std::map<std::string, Instant> passed_over_until_;  // By node.
+  Duration failure_holdoff_;
+  std::map<std::string, Instant> avoided_until_;  // By node.
 };
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/inbound_handler.cc
+++ b/source/sidecar/inbound_handler.cc
@@ -145,12 +145,12 @@
     return;
   }
   if (peer_protocol::IsChangeSet(exchange->request().head.headers)) {
-    PassOnOrder order;
+    ForwardingInstruction order;
     order.whole_zone = peer_protocol::IsForZone(exchange->request().head.headers);
     order.nodes = peer_protocol::ReadPassOnTo(exchange->request().head.headers);
     order.failed = peer_protocol::ReadFailedReaders(exchange->request().head.headers);
     const std::string body = std::move(exchange->request().body);
-    feed_.OnPassedOn(body, order, [&](bool understood) {
+    feed_.OnForwardedChanges(body, order, [&](bool understood) {
       exchange->Respond(understood ? kOk : kBadRequest, {}, "");
     });
     return;
--- a/source/sidecar/sidecar.cc
+++ b/source/sidecar/sidecar.cc
@@ -312,7 +312,7 @@
   gauges.quarantine_trials = quarantine_.trials();
   gauges.log_lines_dropped = log_.dropped();
   gauges.freshness = feed_.FreshnessOfState();
-  gauges.silence_of_others = feed_.SilenceOfOthers();
+  gauges.silence_of_others = feed_.TimeSinceLastBeacon();
   http::Headers headers;
   headers.Add("Content-Type", "text/plain; version=0.0.4");
   exchange->Respond(kOk, headers, metrics_.Serialize(gauges));
--- a/source/sidecar/state_feed.cc
+++ b/source/sidecar/state_feed.cc
@@ -15,7 +15,7 @@
 // Larger items are passed on as patches.
 constexpr size_t kPatchedItemBytes = 1024;
 // Other nodes that are asked in place of one that did not acknowledge a change.
-constexpr size_t kFurtherTries = 2;
+constexpr size_t kMaxReplacementPushes = 2;
 // The links carry other things too.
 constexpr int kLinkShareFactor = 2;
 
@@ -30,7 +30,7 @@
       watchers_(std::move(watchers)),
       log_(log),
       config_(std::move(config)),
-      tree_(peers, config_.node, config_.zone, config_.pass_over_for),
+      tree_(peers, config_.node, config_.zone, config_.failure_holdoff),
       timer_(loop, [this] { Tick(); }),
       catch_up_timer_(loop, [this] { CatchUp(); }) {}
 
@@ -40,9 +40,9 @@
   started_at_ = loop_.Now();
   for (store::PrefixWatcher* watcher : watchers_) {
     watcher->set_ask_other(
-        [this, watcher](const std::function<void(bool)>& done) { AskForSnapshot(watcher, done); });
+        [this, watcher](const std::function<void(bool)>& done) { RequestSnapshot(watcher, done); });
   }
-  heard_at_ = started_at_;
+  last_beacon_at_ = started_at_;
   if (!transport_->ListenForBeacons([this](std::string_view data) { OnBeacon(data); })) return;
   // Until a leader is heard, or none is after all.
   SetRole(/*leading=*/false, /*watching=*/false);
@@ -60,21 +60,22 @@
   const bool store_answers = !store_answers_ || store_answers_();
   if (!listed || !store_answers || (stopping_ && !leading_)) return false;
   const size_t rank = Rank();
-  const Duration patience = config_.standby_timeout * static_cast<int64_t>(rank);
-  return rank == 0 || (rank < config_.nodes_in_line && loop_.Now() - heard_at_ > patience);
+  const Duration takeover_timeout = config_.standby_timeout * static_cast<int64_t>(rank);
+  return rank == 0 ||
+         (rank < config_.max_leader_candidates && loop_.Now() - last_beacon_at_ > takeover_timeout);
 }
 
 void StateFeed::Tick() {
   timer_.Start(config_.beacon_interval);
   const Peer* own = peers_.Find(config_.node);
-  stands_by_ = own != nullptr && own->listed && !stopping_ && Rank() < kWatchingNodes;
+  is_standby_ = own != nullptr && own->listed && !stopping_ && Rank() < kWatchingNodes;
   const bool leading = ShouldLead();
-  const bool alone = loop_.Now() - heard_at_ > config_.follower_timeout;
-  SetRole(leading, leading || stands_by_ || alone);
+  const bool alone = loop_.Now() - last_beacon_at_ > config_.follower_timeout;
+  SetRole(leading, leading || is_standby_ || alone);
   for (store::PrefixWatcher* watcher : watchers_) {
-    watcher->set_pace(leading      ? config_.leader_pace
-                      : stands_by_ ? config_.standby_pace
-                                   : config_.alone_pace);
+    watcher->set_pace(leading       ? config_.leader_pace
+                      : is_standby_ ? config_.standby_pace
+                                    : config_.leaderless_pace);
   }
   if (leading_) SendBeacons();
 }
@@ -84,7 +85,7 @@
     log_.Write(LogLevel::kInfo, "state_feed_role",
                {{"leading", leading},
                 {"watching", watching},
-                {"silence_ms", ToMilliseconds(loop_.Now() - heard_at_)}});
+                {"silence_ms", ToMilliseconds(loop_.Now() - last_beacon_at_)}});
   }
   leading_ = leading;
   watching_ = watching;
@@ -113,14 +114,14 @@
 void StateFeed::OnBeacon(std::string_view data) {
   auto beacon = StateBeacon::Parse(data);
   if (!beacon.has_value() || beacon->node == config_.node) return;
-  heard_at_ = loop_.Now();
-  heard_of_ = beacon->node;
-  if (stands_by_ && !leading_) HelpLeader(*beacon);
+  last_beacon_at_ = loop_.Now();
+  last_leader_ = beacon->node;
+  if (is_standby_ && !leading_) PushChangesMissedByLeader(*beacon);
   announced_ = std::move(beacon->revisions);
   for (const store::PrefixWatcher* watcher : watchers_) {
     const auto announced = announced_.find(watcher->prefix());
     if (announced == announced_.end()) continue;
-    freshness_[watcher->prefix()].OnAnnounced(heard_at_, announced->second);
+    freshness_[watcher->prefix()].OnAnnounced(last_beacon_at_, announced->second);
     UpdateFreshness(*watcher);
     if (watcher->CompleteTo(announced->second)) continue;
     if (!catch_up_timer_.active()) catch_up_timer_.Start(config_.catch_up_delay);
@@ -168,21 +169,21 @@
 }
 
 // The store may refuse the leader while it serves this node.
-void StateFeed::HelpLeader(const StateBeacon& beacon) {
+void StateFeed::PushChangesMissedByLeader(const StateBeacon& beacon) {
   for (const store::PrefixWatcher* watcher : watchers_) {
     const std::string& prefix = watcher->prefix();
     const store::Revision revision = watcher->change_revision();
     const auto announced = beacon.revisions.find(prefix);
     if (announced == beacon.revisions.end() || announced->second >= revision) continue;
     const bool recent = loop_.Now() - changed_at_[prefix] < config_.leader_lag;
-    if (recent || helped_with_[prefix] >= revision) continue;
-    helped_with_[prefix] = revision;
+    if (recent || pushed_for_leader_[prefix] >= revision) continue;
+    pushed_for_leader_[prefix] = revision;
     log_.Write(LogLevel::kInfo, "leader_behind",
                {{"leader", beacon.node},
                 {"prefix", prefix},
                 {"announced", store::RevisionText(announced->second)},
                 {"revision", store::RevisionText(revision)}});
-    PushToAll(SerializeChanges(prefix, Whole(watcher->Snapshot())));
+    PushToAll(SerializeChanges(prefix, WithFullValues(watcher->Snapshot())));
   }
 }
 
@@ -190,30 +191,30 @@
 // start from, while one that watches the store for itself has others in between. That first one
 // asks the leader.
 std::optional<StateFeed::CopySource> StateFeed::SnapshotSource() const {
-  const Peer* leader = peers_.Find(heard_of_);
+  const Peer* leader = peers_.Find(last_leader_);
   if (leader == nullptr) return std::nullopt;
-  const std::vector<std::string> line = tree_.Line();
+  const std::vector<std::string> line = tree_.LeaderCandidates();
   const std::set<std::string> watching(
       line.begin(), line.begin() + std::min<std::ptrdiff_t>(kWatchingNodes, std::ssize(line)));
   for (const std::string& node : line) {
     const Peer* peer = peers_.Find(node);
-    if (peer->record.zone != config_.zone || tree_.PassedOver(loop_.Now(), node)) continue;
+    if (peer->record.zone != config_.zone || tree_.RecentlyFailed(loop_.Now(), node)) continue;
     if (node == config_.node) break;
-    if (node == heard_of_ || !watching.contains(node)) {
+    if (node == last_leader_ || !watching.contains(node)) {
       return CopySource{node, peer->record.inbound};
     }
   }
-  return CopySource{heard_of_, leader->record.inbound};
+  return CopySource{last_leader_, leader->record.inbound};
 }
 
-void StateFeed::AskForSnapshot(store::PrefixWatcher* watcher,
-                               const std::function<void(bool)>& done) {
+void StateFeed::RequestSnapshot(store::PrefixWatcher* watcher,
+                                const std::function<void(bool)>& done) {
   const auto source = leading_ ? std::nullopt : SnapshotSource();
   if (!source.has_value()) {
     done(false);
     return;
   }
-  transport_->AskForCopy(
+  transport_->FetchSnapshot(
       source->endpoint, watcher->prefix(), config_.snapshot_timeout,
       [this, done, node = source->node,
        begun_at = loop_.Now()](const std::optional<FeedAnswer>& answer) {
@@ -221,7 +222,7 @@
         const size_t bytes = answered ? answer->body.size() : 0;
         OnTransferEnd({StateTransfer::Kind::kCopy, bytes, answered, loop_.Now() - begun_at}, node);
         if (answered) {
-          OnPassedOn(answer->body, PassOnOrder{}, [](bool) {});
+          OnForwardedChanges(answer->body, ForwardingInstruction{}, [](bool) {});
         } else if (!answer.has_value()) {
           tree_.OnReaderFailed(loop_.Now(), node);
         }
@@ -236,18 +237,18 @@
     const store::Revision revision = watcher->revision();
     if (kept.bytes.empty() || kept.revision != revision) {
       kept.revision = revision;
-      kept.bytes = SerializeChanges(prefix, Whole(watcher->Snapshot()));
+      kept.bytes = SerializeChanges(prefix, WithFullValues(watcher->Snapshot()));
     }
-    if (!LinkTakesCopy(kept.bytes.size())) return std::nullopt;
+    if (!TryReserveLink(kept.bytes.size())) return std::nullopt;
     return kept.bytes;
   }
   return std::nullopt;
 }
 
-bool StateFeed::LinkTakesCopy(size_t bytes) {
+bool StateFeed::TryReserveLink(size_t bytes) {
   const Instant now = loop_.Now();
-  if (copies_sent_at_ - now > config_.copies_budget) return false;
-  copies_sent_at_ = std::max(now, copies_sent_at_) + TimeOnLink(bytes, config_.link_megabits);
+  if (snapshots_sent_at_ - now > config_.snapshot_link_budget) return false;
+  snapshots_sent_at_ = std::max(now, snapshots_sent_at_) + TimeOnLink(bytes, config_.link_megabits);
   return true;
 }
 
@@ -266,14 +267,14 @@
 void StateFeed::OnChanges(const store::PrefixWatcher& watcher, const store::ChangeSet& changes) {
   changed_at_[watcher.prefix()] = loop_.Now();
   UpdateFreshness(watcher);
-  const PassedOnChanges passed_on = PatchLargeItems(changes);
+  const ForwardedChanges passed_on = PatchLargeItems(changes);
   if (leading_) PushToAll(SerializeChanges(watcher.prefix(), passed_on));
 }
 
 // Remembers the large items, so that the next change of one needs only what is new in it.
-PassedOnChanges StateFeed::PatchLargeItems(const store::ChangeSet& changes) {
-  PassedOnChanges result = Whole(LatestOfEachItem(changes));
-  for (PassedOnEvent& passed_on : result.events) {
+ForwardedChanges StateFeed::PatchLargeItems(const store::ChangeSet& changes) {
+  ForwardedChanges result = WithFullValues(LatestOfEachItem(changes));
+  for (ForwardedEvent& passed_on : result.events) {
     store::Item& item = passed_on.event.item;
     if (passed_on.event.removed || item.value.size() < kPatchedItemBytes) continue;
     store::Item& former = large_items_[item.key];
@@ -293,12 +294,13 @@
 void StateFeed::PushToAll(const std::string& body) {
   const auto shared = std::make_shared<const std::string>(body);
   for (const FeedReceiver& receiver : tree_.ReadersOfOtherZones(loop_.Now())) {
-    Push(receiver, shared, kFurtherTries);
+    Push(receiver, shared, kMaxReplacementPushes);
   }
   PushToNeighbours(tree_.ReceiversInZone(loop_.Now()), shared);
 }
 
-std::set<std::string> StateFeed::PassOn(const std::string& body, const PassOnOrder& order) {
+std::set<std::string> StateFeed::ForwardChanges(const std::string& body,
+                                                const ForwardingInstruction& order) {
   if (!order.whole_zone && order.nodes.empty()) return {};
   const Instant now = loop_.Now();
   for (const std::string& node : order.failed) tree_.OnReaderFailed(now, node);
@@ -313,28 +315,28 @@
 void StateFeed::PushToNeighbours(std::vector<FeedReceiver> receivers,
                                  const std::shared_ptr<const std::string>& body) {
   const size_t copies =
-      CopiesWithin(config_.link_budget, config_.link_megabits, body->size(), bytes_under_way_);
-  for (const FeedReceiver& receiver : ShareOut(std::move(receivers), copies)) {
-    Push(receiver, body, kFurtherTries);
+      CopiesWithin(config_.link_budget, config_.link_megabits, body->size(), bytes_in_flight_);
+  for (const FeedReceiver& receiver : AssignForwarding(std::move(receivers), copies)) {
+    Push(receiver, body, kMaxReplacementPushes);
   }
 }
 
 Duration StateFeed::PushTimeout(const FeedReceiver& receiver, size_t bytes) const {
-  const Duration on_links = TimeOnLink(bytes_under_way_, config_.link_megabits) +
+  const Duration on_links = TimeOnLink(bytes_in_flight_, config_.link_megabits) +
                             TimeOnLink(bytes, receiver.link_megabits);
   return config_.push_timeout + on_links * kLinkShareFactor;
 }
 
 void StateFeed::Push(FeedReceiver receiver, const std::shared_ptr<const std::string>& body,
                      size_t tries_left) {
-  const bool passes_on = receiver.reads_for_zone || !receiver.pass_on_to.empty();
+  const bool passes_on = receiver.reads_for_zone || !receiver.forward_to.empty();
   if (passes_on) {
-    for (std::string& node : tree_.PassedOverIn(loop_.Now(), receiver.zone)) {
+    for (std::string& node : tree_.RecentlyFailedIn(loop_.Now(), receiver.zone)) {
       receiver.failed.push_back(std::move(node));
     }
   }
   peers_.OnTraffic(TrafficKind::kStateChanges, receiver.node, body->size());
-  bytes_under_way_ += body->size();
+  bytes_in_flight_ += body->size();
   transport_->SendChanges(
       receiver, *body, PushTimeout(receiver, body->size()),
       [this, receiver, body, tries_left,
@@ -342,7 +344,7 @@
         const bool taken = answer.has_value() && answer->accepted;
         OnTransferEnd({StateTransfer::Kind::kChanges, body->size(), taken, loop_.Now() - begun_at},
                       receiver.node);
-        bytes_under_way_ -= body->size();
+        bytes_in_flight_ -= body->size();
         if (!taken) OnPushFailed(receiver, body, tries_left);
       });
 }
@@ -351,7 +353,7 @@
 // that failed would all read the store, so that others are asked.
 void StateFeed::OnPushFailed(const FeedReceiver& receiver,
                              const std::shared_ptr<const std::string>& body, size_t tries_left) {
-  if (!receiver.reads_for_zone && receiver.pass_on_to.empty()) return;
+  if (!receiver.reads_for_zone && receiver.forward_to.empty()) return;
   const Instant now = loop_.Now();
   tree_.OnReaderFailed(now, receiver.node);
   log_.Write(LogLevel::kInfo, "zone_reader_failed",
@@ -361,7 +363,7 @@
   // wait for its answer.
   auto next = receiver.reads_for_zone
                   ? tree_.ReadersOf(now, receiver.zone, tries_left)
-                  : ShareOut(tree_.ReceiversAmong(now, receiver.pass_on_to), tries_left);
+                  : AssignForwarding(tree_.ReceiversAmong(now, receiver.forward_to), tries_left);
   std::erase_if(next, [&](const FeedReceiver& other) { return other.node == receiver.node; });
   for (FeedReceiver& one : next) {
     // None of them relies on another, which may not answer either.
@@ -372,29 +374,29 @@
   }
 }
 
-void StateFeed::OnPassedOn(const std::string& body, const PassOnOrder& order,
-                           const std::function<void(bool understood)>& acknowledge) {
+void StateFeed::OnForwardedChanges(const std::string& body, const ForwardingInstruction& order,
+                                   const std::function<void(bool understood)>& acknowledge) {
   std::string prefix;
-  PassedOnChanges changes;
+  ForwardedChanges changes;
   const bool understood = ParseChanges(body, &prefix, &changes);
   acknowledge(understood);
   if (!understood) return;
   // Before they are applied: a configuration of thousands of routes keeps a small machine busy for
   // longer than it takes to send.
-  const std::set<std::string> sent_to = PassOn(body, order);
-  ApplyPassedOn(prefix, changes);
-  if (order.whole_zone) PassOnToNewNodes(body, sent_to);
+  const std::set<std::string> sent_to = ForwardChanges(body, order);
+  ApplyForwardedChanges(prefix, changes);
+  if (order.whole_zone) ForwardToNewNodes(body, sent_to);
 }
 
 // The changes may have told of nodes of the zone that were not known when they were passed on.
-void StateFeed::PassOnToNewNodes(const std::string& body, const std::set<std::string>& sent_to) {
+void StateFeed::ForwardToNewNodes(const std::string& body, const std::set<std::string>& sent_to) {
   std::vector<FeedReceiver> receivers = tree_.ReceiversInZone(loop_.Now());
   std::erase_if(receivers,
                 [&](const FeedReceiver& receiver) { return sent_to.contains(receiver.node); });
   if (!receivers.empty()) PushToNeighbours(receivers, std::make_shared<const std::string>(body));
 }
 
-void StateFeed::ApplyPassedOn(const std::string& prefix, const PassedOnChanges& changes) {
+void StateFeed::ApplyForwardedChanges(const std::string& prefix, const ForwardedChanges& changes) {
   for (store::PrefixWatcher* watcher : watchers_) {
     if (watcher->prefix() != prefix) continue;
     const auto whole = ApplyPatches(changes, watcher->items());
--- a/source/sidecar/state_feed.h
+++ b/source/sidecar/state_feed.h
@@ -35,7 +35,7 @@
   // Without a beacon for this long the second node leads, for twice as long the third, and so on:
   // several of the first may have been lost together, and stay listed until their leases end.
   Duration standby_timeout = std::chrono::milliseconds(700);
-  size_t nodes_in_line = 8;  // That may lead.
+  size_t max_leader_candidates = 8;  // That may lead.
   // Without a beacon for this long a node watches for itself.
   Duration follower_timeout = std::chrono::milliseconds(1200);
   // Changes that a beacon tells of and that did not come within this time are read.
@@ -47,12 +47,12 @@
   // For the first byte of a copy, and between its parts.
   Duration snapshot_timeout = std::chrono::milliseconds(300);
   // For which a node that did not acknowledge a change is not relied on.
-  Duration pass_over_for = std::chrono::seconds(3);
+  Duration failure_holdoff = std::chrono::seconds(3);
   uint32_t link_megabits = 0;  // Of this machine; zero: not known.
   // For which the copies of one change may fill this machine's link; other nodes make the rest.
   Duration link_budget = std::chrono::milliseconds(250);
   // For which copies that were asked for may; further requests are refused.
-  Duration copies_budget = std::chrono::milliseconds(500);
+  Duration snapshot_link_budget = std::chrono::milliseconds(500);
   // A change that the leader's beacons do not tell of within this time is passed on by the second.
   Duration leader_lag = std::chrono::milliseconds(200);
   // How often the store is asked for changes while there are many: by the leader, whom all wait
@@ -61,7 +61,7 @@
   // more to be in force.
   store::WatchPace leader_pace{std::chrono::milliseconds(100), 5};
   store::WatchPace standby_pace{std::chrono::milliseconds(250), 2};
-  store::WatchPace alone_pace{std::chrono::milliseconds(500), 1};
+  store::WatchPace leaderless_pace{std::chrono::milliseconds(500), 1};
 };
 
 // A transfer of a part of the state between two nodes, seen by the one that began it.
@@ -74,7 +74,7 @@
 };
 
 // Whom the receiver of changes is asked to pass them on to.
-struct PassOnOrder {
+struct ForwardingInstruction {
   bool whole_zone = false;         // All nodes of its zone.
   std::vector<std::string> nodes;  // These, of its zone.
   // These did not acknowledge the changes when they were asked the same.
@@ -106,8 +106,8 @@
   void OnChanges(const store::PrefixWatcher& watcher, const store::ChangeSet& changes);
   // Another node passed changes on. `acknowledge` is called before they are applied and passed on,
   // with false when they cannot be understood.
-  void OnPassedOn(const std::string& body, const PassOnOrder& order,
-                  const std::function<void(bool understood)>& acknowledge);
+  void OnForwardedChanges(const std::string& body, const ForwardingInstruction& order,
+                          const std::function<void(bool understood)>& acknowledge);
   // This node's copy of a prefix, for another one that lacks changes; nullopt: it has none, or its
   // link is full of others. Many nodes that miss the same change ask at the same time.
   std::optional<std::string> SnapshotFor(const std::string& prefix);
@@ -117,7 +117,7 @@
   // Others announced a change of the prefix that this node has not got yet.
   bool IsBehind(const std::string& prefix) const;
   // Since the latest beacon of another node, or since the start.
-  Duration SilenceOfOthers() const { return loop_.Now() - heard_at_; }
+  Duration TimeSinceLastBeacon() const { return loop_.Now() - last_beacon_at_; }
 
  private:
   // A node that is asked for its copy.
@@ -133,26 +133,26 @@
   void UpdateFreshness(const store::PrefixWatcher& watcher);
   void OnTransferEnd(const StateTransfer& transfer, const std::string& node);
   // Asks a node that is likely to have the changes that `watcher` lacks.
-  void AskForSnapshot(store::PrefixWatcher* watcher, const std::function<void(bool)>& done);
+  void RequestSnapshot(store::PrefixWatcher* watcher, const std::function<void(bool)>& done);
   std::optional<CopySource> SnapshotSource() const;
   void SendBeacons();
   void PushToAll(const std::string& body);
   // Returns the nodes that the changes are on their way to.
-  std::set<std::string> PassOn(const std::string& body, const PassOnOrder& order);
-  void PassOnToNewNodes(const std::string& body, const std::set<std::string>& sent_to);
+  std::set<std::string> ForwardChanges(const std::string& body, const ForwardingInstruction& order);
+  void ForwardToNewNodes(const std::string& body, const std::set<std::string>& sent_to);
   // Sends to as many as the link carries soon, which serve the others.
   void PushToNeighbours(std::vector<FeedReceiver> receivers,
                         const std::shared_ptr<const std::string>& body);
   // The receiver did not acknowledge in time: another one takes over what it was asked to do.
   void OnPushFailed(const FeedReceiver& receiver, const std::shared_ptr<const std::string>& body,
                     size_t tries_left);
-  void ApplyPassedOn(const std::string& prefix, const PassedOnChanges& changes);
+  void ApplyForwardedChanges(const std::string& prefix, const ForwardedChanges& changes);
   Duration PushTimeout(const FeedReceiver& receiver, size_t bytes) const;
   // Whether a copy may be handed out now: those before it leave the link soon.
-  bool LinkTakesCopy(size_t bytes);
-  PassedOnChanges PatchLargeItems(const store::ChangeSet& changes);
+  bool TryReserveLink(size_t bytes);
+  ForwardedChanges PatchLargeItems(const store::ChangeSet& changes);
   // Passes on what the leader of `beacon` lacks.
-  void HelpLeader(const StateBeacon& beacon);
+  void PushChangesMissedByLeader(const StateBeacon& beacon);
   void Push(FeedReceiver receiver, const std::shared_ptr<const std::string>& body,
             size_t tries_left);
   // Place of this node in line among those that are listed and not stopping.
@@ -176,21 +176,21 @@
   std::map<std::string, store::Item> large_items_;  // As they were passed on, or seen, last.
   std::map<std::string, Instant> changed_at_;       // By prefix: the latest change from the store.
   std::map<std::string, store::Revision>
-      helped_with_;             // By prefix: passed on in the leader's place.
-  size_t bytes_under_way_ = 0;  // Of changes that were not acknowledged yet.
+      pushed_for_leader_;       // By prefix: passed on in the leader's place.
+  size_t bytes_in_flight_ = 0;  // Of changes that were not acknowledged yet.
   Instant started_at_{};
-  Instant heard_at_{};    // The latest beacon of another node.
-  std::string heard_of_;  // That node.
+  Instant last_beacon_at_{};  // The latest beacon of another node.
+  std::string last_leader_;   // That node.
   // Copies as they were handed out last, by prefix: many nodes may lack the same changes.
   struct SerializedSnapshot {
     store::Revision revision = 0;
     std::string bytes;
   };
   std::map<std::string, SerializedSnapshot> snapshots_;
-  Instant copies_sent_at_{};  // When the link will have sent the copies that were handed out.
+  Instant snapshots_sent_at_{};  // When the link will have sent the copies that were handed out.
   bool leading_ = false;
   bool watching_ = true;
-  bool stands_by_ = false;
+  bool is_standby_ = false;
   bool stopping_ = false;
 };
 
--- a/source/sidecar/transfer_plan.cc
+++ b/source/sidecar/transfer_plan.cc
@@ -17,7 +17,7 @@
 double LoadWithOneMore(const FeedReceiver& receiver) {
   const uint32_t megabits =
       receiver.link_megabits == 0 ? kUnknownLinkMegabits : receiver.link_megabits;
-  return static_cast<double>(receiver.pass_on_to.size() + 1) / megabits;
+  return static_cast<double>(receiver.forward_to.size() + 1) / megabits;
 }
 
 }  // namespace
@@ -30,16 +30,16 @@
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-size_t CopiesWithin(Duration budget, uint32_t link_megabits, size_t bytes, size_t bytes_under_way) {
+size_t CopiesWithin(Duration budget, uint32_t link_megabits, size_t bytes, size_t bytes_in_flight) {
   if (link_megabits == 0 || bytes == 0) return std::numeric_limits<size_t>::max();
   const double seconds = std::chrono::duration<double>(budget).count();
   const double room =
-      seconds * BytesPerSecond(link_megabits) - static_cast<double>(bytes_under_way);
+      seconds * BytesPerSecond(link_megabits) - static_cast<double>(bytes_in_flight);
   if (room <= 0) return kMinCopies;
   return std::max(kMinCopies, static_cast<size_t>(room / static_cast<double>(bytes)));
 }
 
-std::vector<FeedReceiver> ShareOut(std::vector<FeedReceiver> receivers, size_t copies) {
+std::vector<FeedReceiver> AssignForwarding(std::vector<FeedReceiver> receivers, size_t copies) {
   if (receivers.size() <= copies) return receivers;
   std::vector<FeedReceiver> first(receivers.begin(),
                                   receivers.begin() + static_cast<std::ptrdiff_t>(copies));
@@ -48,7 +48,7 @@
         std::min_element(first.begin(), first.end(), [](const auto& left, const auto& right) {
           return LoadWithOneMore(left) < LoadWithOneMore(right);
         });
-    least->pass_on_to.push_back(std::move(receivers[index].node));
+    least->forward_to.push_back(std::move(receivers[index].node));
   }
   return first;
 }
--- a/source/sidecar/transfer_plan.h
+++ b/source/sidecar/transfer_plan.h
@@ -21,12 +21,12 @@
 // How long a link takes to send this many bytes.
 Duration TimeOnLink(size_t bytes, uint32_t link_megabits);
 
-// How many copies a link sends within `budget` while `bytes_under_way` are still to be sent; at
+// How many copies a link sends within `budget` while `bytes_in_flight` are still to be sent; at
 // least two, so that each step reaches more nodes than the one before.
-size_t CopiesWithin(Duration budget, uint32_t link_megabits, size_t bytes, size_t bytes_under_way);
+size_t CopiesWithin(Duration budget, uint32_t link_megabits, size_t bytes, size_t bytes_in_flight);
 
 // Sends to the first `copies` of the receivers, in the order given, which pass the message on to
 // the others: each gets a share by the width of its link.
-std::vector<FeedReceiver> ShareOut(std::vector<FeedReceiver> receivers, size_t copies);
+std::vector<FeedReceiver> AssignForwarding(std::vector<FeedReceiver> receivers, size_t copies);
 
 }  // namespace runshelf::sidecar
--- a/tests/platform_adapter/sidecar_test.cc
+++ b/tests/platform_adapter/sidecar_test.cc
@@ -385,7 +385,7 @@
     sidecar::NodeRecord records[2];
     records[0].node = fleet.nodes[left].settings.node_name;
     records[1].node = fleet.nodes[right].settings.node_name;
-    return sidecar::PlaceInLine(records[0]) < sidecar::PlaceInLine(records[1]);
+    return sidecar::RankOf(records[0]) < sidecar::RankOf(records[1]);
   });
   fleet.Kill(line[0]);
   fleet.Kill(line[1]);
--- a/tests/platform_adapter/state_spread.cc
+++ b/tests/platform_adapter/state_spread.cc
@@ -115,8 +115,8 @@
   void SendBeacon(const std::string& ip_address, std::string_view beacon) override;
   void SendChanges(const sidecar::FeedReceiver& receiver, const std::string& changes,
                    Duration timeout, Callback callback) override;
-  void AskForCopy(const event::Endpoint& source, const std::string& prefix, Duration timeout,
-                  Callback callback) override;
+  void FetchSnapshot(const event::Endpoint& source, const std::string& prefix, Duration timeout,
+                     Callback callback) override;
   void ReceiveBeacon(const std::string& beacon) {
     if (on_beacon_) on_beacon_(beacon);
   }
@@ -232,11 +232,12 @@
     config.node = name;
     config.zone = zone;
     config.link_megabits = machine.link_megabits;
-    for (Duration* time : {&config.beacon_interval, &config.standby_timeout,
-                           &config.follower_timeout, &config.catch_up_delay, &config.push_timeout,
-                           &config.snapshot_timeout, &config.leader_lag, &config.pass_over_for,
-                           &config.link_budget, &config.copies_budget, &config.leader_pace.interval,
-                           &config.standby_pace.interval, &config.alone_pace.interval}) {
+    for (Duration* time :
+         {&config.beacon_interval, &config.standby_timeout, &config.follower_timeout,
+          &config.catch_up_delay, &config.push_timeout, &config.snapshot_timeout,
+          &config.leader_lag, &config.failure_holdoff, &config.link_budget,
+          &config.snapshot_link_budget, &config.leader_pace.interval, &config.standby_pace.interval,
+          &config.leaderless_pace.interval}) {
       *time = Slowed(*time);
     }
     return config;
@@ -285,18 +286,18 @@
                                          Callback callback) {
   Begin(
       receiver.endpoint, changes.size(), timeout,
-      [changes,
-       order = sidecar::PassOnOrder{receiver.reads_for_zone, receiver.pass_on_to, receiver.failed}](
+      [changes, order = sidecar::ForwardingInstruction{receiver.reads_for_zone, receiver.forward_to,
+                                                       receiver.failed}](
           Node* node, const std::function<void(sidecar::FeedAnswer)>& respond) {
-        node->feed().OnPassedOn(changes, order, [&](bool understood) {
+        node->feed().OnForwardedChanges(changes, order, [&](bool understood) {
           respond({understood, ""});
         });
       },
       std::move(callback));
 }
 
-void StateSpread::Transport::AskForCopy(const event::Endpoint& source, const std::string& prefix,
-                                        Duration timeout, Callback callback) {
+void StateSpread::Transport::FetchSnapshot(const event::Endpoint& source, const std::string& prefix,
+                                           Duration timeout, Callback callback) {
   Begin(
       source, 0, timeout,
       [prefix](Node* node, const std::function<void(sidecar::FeedAnswer)>& respond) {
--- a/tests/sidecar/feed_tree_test.cc
+++ b/tests/sidecar/feed_tree_test.cc
@@ -129,14 +129,14 @@
 }
 
 TEST(FeedTree, TheLineGoesByStrengthAndThenMixesNames) {
-  CHECK(PlaceInLine(Record("weak", "z0", 10)).processor_percent == 10);
-  CHECK(PlaceInLine(Record("x", "z0", 50)) < PlaceInLine(Record("y", "z0", 10)));
-  CHECK_FALSE(PlaceInLine(Record("y", "z0", 10)) < PlaceInLine(Record("x", "z0", 50)));
-  CHECK_FALSE(PlaceInLine(Record("x", "z0")) < PlaceInLine(Record("x", "z0")));
+  CHECK(RankOf(Record("weak", "z0", 10)).processor_percent == 10);
+  CHECK(RankOf(Record("x", "z0", 50)) < RankOf(Record("y", "z0", 10)));
+  CHECK_FALSE(RankOf(Record("y", "z0", 10)) < RankOf(Record("x", "z0", 50)));
+  CHECK_FALSE(RankOf(Record("x", "z0")) < RankOf(Record("x", "z0")));
   // Of equal machines no zone has all of the first places: neighbours by name share a zone.
-  std::map<LinePlace, std::string> line;
+  std::map<CandidateRank, std::string> line;
   for (size_t index = 0; index < 60; ++index) {
-    line[PlaceInLine(Record(NodeName(index), "z0"))] = "z" + std::to_string(index / 10);
+    line[RankOf(Record(NodeName(index), "z0"))] = "z" + std::to_string(index / 10);
   }
   CHECK_EQUAL(60, line.size());
   std::set<std::string> zones;
--- a/tests/sidecar/state_feed_test.cc
+++ b/tests/sidecar/state_feed_test.cc
@@ -21,8 +21,8 @@
   removed.removed = true;
   changes.events = {written, removed};
   std::string prefix;
-  PassedOnChanges read;
-  CHECK(ParseChanges(SerializeChanges("p/", Whole(changes)), &prefix, &read));
+  ForwardedChanges read;
+  CHECK(ParseChanges(SerializeChanges("p/", WithFullValues(changes)), &prefix, &read));
   STRCMP_EQUAL("p/", prefix.c_str());
   CHECK_EQUAL(5, read.from);
   CHECK_EQUAL(9, read.to);
@@ -33,10 +33,10 @@
 }
 
 TEST(StateFeedForms, APatchNeedsTheValueThatItStartsFrom) {
-  PassedOnChanges changes;
+  ForwardedChanges changes;
   changes.from = 5;
   changes.to = 8;
-  PassedOnEvent patched;
+  ForwardedEvent patched;
   patched.event.item = {"map", MakeTextPatch("[1],[2]", "[1],[3]"), 8, 0};
   patched.base_revision = 5;
   changes.events = {patched};
@@ -68,8 +68,8 @@
 
 TEST(StateFeedForms, BytesThatAreNoChangeSetAreRefused) {
   std::string prefix;
-  PassedOnChanges changes;
-  const std::string whole = SerializeChanges("p/", {false, 1, 2, {PassedOnEvent{}}});
+  ForwardedChanges changes;
+  const std::string whole = SerializeChanges("p/", {false, 1, 2, {ForwardedEvent{}}});
   for (size_t size = 0; size < whole.size(); ++size) {
     CHECK_FALSE(ParseChanges(whole.substr(0, size), &prefix, &changes));
   }
--- a/tests/sidecar/transfer_plan_test.cc
+++ b/tests/sidecar/transfer_plan_test.cc
@@ -31,7 +31,7 @@
 }
 
 // Sends a change through a zone by the plan, each step when the copies of the one before are there.
-struct Spread {
+struct ForwardingSimulation {
   std::map<std::string, uint32_t> links;
   std::multiset<std::string> reached;
   Duration longest{0};     // Until the last node has it.
@@ -40,7 +40,7 @@
   void From(uint32_t link, const std::vector<FeedReceiver>& receivers, Duration since) {
     if (receivers.empty()) return;
     const size_t copies = CopiesWithin(kBudget, link, kLargeChange, 0);
-    const auto first = ShareOut(receivers, copies);
+    const auto first = AssignForwarding(receivers, copies);
     if (link == kNarrow) most_copies = std::max(most_copies, first.size());
     const Duration sent = since + TimeOnLink(kLargeChange * first.size(), link);
     for (const FeedReceiver& receiver : first) {
@@ -48,7 +48,7 @@
       const Duration arrived = sent + TimeOnLink(kLargeChange, receiver.link_megabits);
       longest = std::max(longest, arrived);
       std::vector<FeedReceiver> rest;
-      for (const std::string& node : receiver.pass_on_to) {
+      for (const std::string& node : receiver.forward_to) {
         FeedReceiver next;
         next.node = node;
         next.link_megabits = links.at(node);
@@ -58,7 +58,7 @@
     }
   }
 
-  explicit Spread(const std::vector<FeedReceiver>& zone, uint32_t origin_link) {
+  explicit ForwardingSimulation(const std::vector<FeedReceiver>& zone, uint32_t origin_link) {
     for (const FeedReceiver& receiver : zone) links[receiver.node] = receiver.link_megabits;
     From(origin_link, zone, Duration(0));
   }
@@ -70,7 +70,7 @@
 
 // Guards against a change that never arrives, since all copies share a link and run out of time.
 TEST(TransferPlan, ALargeChangeReachesAZoneOfNarrowLinksInSteps) {
-  const Spread spread(Zone(28, 0), kNarrow);
+  const ForwardingSimulation spread(Zone(28, 0), kNarrow);
   CHECK_EQUAL(28, spread.reached.size());
   for (int index = 0; index < 28; ++index)
     CHECK_EQUAL(1, spread.reached.count(fmt::format("n{}", index)));
@@ -79,19 +79,19 @@
 }
 
 TEST(TransferPlan, WideLinksDoMostOfTheWork) {
-  const auto first = ShareOut(Zone(26, 1), CopiesWithin(kBudget, kNarrow, kLargeChange, 0));
+  const auto first = AssignForwarding(Zone(26, 1), CopiesWithin(kBudget, kNarrow, kLargeChange, 0));
   CHECK_EQUAL(3, first.size());
-  CHECK(first[0].pass_on_to.size() >= 20);
-  const Spread spread(Zone(26, 1), kNarrow);
+  CHECK(first[0].forward_to.size() >= 20);
+  const ForwardingSimulation spread(Zone(26, 1), kNarrow);
   CHECK_EQUAL(27, spread.reached.size());
   CHECK(spread.longest <= std::chrono::milliseconds(700));
 }
 
 TEST(TransferPlan, ASmallChangeGoesToAllAtOnce) {
-  const auto first = ShareOut(Zone(28, 0), CopiesWithin(kBudget, kNarrow, 500, 0));
+  const auto first = AssignForwarding(Zone(28, 0), CopiesWithin(kBudget, kNarrow, 500, 0));
   CHECK_EQUAL(28, first.size());
   CHECK(std::all_of(first.begin(), first.end(),
-                    [](const FeedReceiver& receiver) { return receiver.pass_on_to.empty(); }));
+                    [](const FeedReceiver& receiver) { return receiver.forward_to.empty(); }));
 }
 
 // Guards against a storm of changes that fills the link one by one.
@@ -101,6 +101,6 @@
 }
 
 TEST(TransferPlan, ALinkOfUnknownWidthIsNotSpared) {
-  CHECK_EQUAL(28, ShareOut(Zone(28, 0), CopiesWithin(kBudget, 0, kLargeChange, 0)).size());
+  CHECK_EQUAL(28, AssignForwarding(Zone(28, 0), CopiesWithin(kBudget, 0, kLargeChange, 0)).size());
   CHECK(TimeOnLink(kLargeChange, 0) == Duration(0));
 }
