--- a/source/sidecar/feed_messages.cc
+++ b/source/sidecar/feed_messages.cc
@@ -65,7 +65,7 @@
     store::WatchEvent event = passed_on.event;
     if (passed_on.base_revision != 0) {
       const auto base = items.find(event.item.key);
-      // Known already, or newer: the watcher leaves such an event out.
+      // The receiver has this or a newer revision; the watcher ignores the event.
       const bool known = base != items.end() && base->second.revision >= event.item.revision;
       if (known) {
         event.item = base->second;
--- a/source/sidecar/feed_messages.h
+++ b/source/sidecar/feed_messages.h
@@ -1,4 +1,4 @@
-// What nodes tell each other of the state in the store: beacons and sets of changes.
+// Messages of the state feed between nodes: beacons and change sets.
 #pragma once
 
 #include <map>
@@ -11,43 +11,44 @@
 
 namespace runshelf::sidecar {
 
-// What a beacon says: the leader's copy of each prefix is complete up to a revision.
+// Sent regularly by the leader: the revision up to which its copy of each prefix is complete.
 struct StateBeacon {
   std::string node;
   std::map<std::string, store::Revision> revisions;
 
   std::string Serialize() const;
-  // nullopt when `text` is no beacon.
+  // nullopt when `text` is not a valid beacon.
   static std::optional<StateBeacon> Parse(std::string_view text);
 };
 
-// A change of the state as one node passes it on to another.
+// A change of one item as forwarded between nodes.
 struct ForwardedEvent {
   store::WatchEvent event;
-  // Zero: the value is whole. Else it is a text patch of the value at this revision.
+  // Zero: the event holds the full value. Otherwise the value is a text patch (see text_patch.h)
+  // against the item's value at this revision.
   store::Revision base_revision = 0;
 };
 
 struct ForwardedChanges {
-  bool complete = false;  // The events are all items; see store::ChangeSet.
+  bool complete = false;  // The events list all items; see store::ChangeSet.
   store::Revision from = 0;
   store::Revision to = 0;
   std::vector<ForwardedEvent> events;
 };
 
-// All values whole.
+// Converts a change set for forwarding, without patches.
 ForwardedChanges WithFullValues(const store::ChangeSet& changes);
-// Leaves out changes that a later one of the same item in the set replaces: a patch that started
-// from them would find another value at the receivers.
+// Removes changes that a later change of the same item in the set supersedes. Receivers would not
+// have the superseded value that a patch is based on.
 store::ChangeSet LatestOfEachItem(store::ChangeSet changes);
-// Replaces patches by values, from the receiver's copy of the items; nullopt: it does not have the
-// value that a patch starts from.
+// Replaces patches by full values, using the receiver's items as bases. nullopt when the base of a
+// patch is missing or has another revision.
 std::optional<store::ChangeSet> ApplyPatches(const ForwardedChanges& changes,
                                              const std::map<std::string, store::Item>& items);
 
-// Forms of a change set between nodes: CBOR, since values may hold any bytes.
+// Wire format of a change set: CBOR, since values may contain arbitrary bytes.
 std::string SerializeChanges(const std::string& prefix, const ForwardedChanges& changes);
-// Returns false when `text` is no change set.
+// Returns false when `text` is not a valid change set.
 bool ParseChanges(std::string_view text, std::string* prefix, ForwardedChanges* changes);
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/feed_transport.h
+++ b/source/sidecar/feed_transport.h
@@ -1,4 +1,4 @@
-// How nodes tell each other of the state in the store, apart from what they tell.
+// Transport of the state feed's messages between nodes.
 #pragma once
 
 #include <functional>
@@ -15,34 +15,35 @@
 
 namespace runshelf::sidecar {
 
-// What a node answered to a message of the feed.
+// A node's answer to a message of the state feed.
 struct FeedAnswer {
   bool accepted = false;
   std::string body;
 };
 
-// Callbacks are never made inside a call. Destroying the transport cancels its calls.
+// Callbacks are always invoked later from the event loop, never from within a call. Destroying the
+// transport cancels its calls.
 class FeedTransport {
  public:
-  // The answer is absent when none came in time.
+  // The answer is absent when none arrived in time.
   using Callback = std::function<void(std::optional<FeedAnswer>)>;
 
   virtual ~FeedTransport() = default;
-  // Returns whether beacons of others can be received.
+  // Returns whether beacons of other nodes can be received.
   virtual bool ListenForBeacons(std::function<void(std::string_view)> on_beacon) = 0;
   virtual void SendBeacon(const std::string& ip_address, std::string_view beacon) = 0;
   virtual void SendChanges(const FeedReceiver& receiver, const std::string& changes,
                            Duration timeout, Callback callback) = 0;
-  // Asks for the copy that a node has of a prefix. `timeout` is for the first byte of the answer,
-  // and between its parts.
+  // Requests a node's snapshot of a prefix. `timeout` limits the time until the first byte of the
+  // answer, and between its parts.
   virtual void FetchSnapshot(const event::Endpoint& source, const std::string& prefix,
                              Duration timeout, Callback callback) = 0;
 };
 
-// Beacons by UDP, everything else by the kept connections between nodes.
+// Sends beacons over UDP, and everything else over the pooled HTTP connections between nodes.
 class NetworkFeedTransport : public FeedTransport {
  public:
-  // `port`: of beacons, the same on all nodes; zero: none are exchanged.
+  // `port`: UDP port for beacons, the same on all nodes; zero: no beacons are exchanged.
   NetworkFeedTransport(event::EventLoop& loop, http::ConnectionPool& pool, std::string ip_address,
                        uint16_t port);
 
--- a/source/sidecar/freshness_tracker.h
+++ b/source/sidecar/freshness_tracker.h
@@ -1,4 +1,4 @@
-// Tells how far this node's copy of a part of the state is behind, and for how long.
+// Tracks how far this node's copy of one prefix of the state is behind, and for how long.
 #pragma once
 
 #include <cstdint>
@@ -9,23 +9,23 @@
 
 namespace runshelf::sidecar {
 
-// What one node knows of a part of the state, and what it could know.
+// Revisions of one node's copy of a prefix, compared with what other nodes announced.
 struct Freshness {
-  store::Revision known = 0;      // Its copy includes all changes up to this one.
-  store::Revision announced = 0;  // The newest that another node said to include.
-  Duration behind_for{0};         // Since that was heard; zero: the copy includes it.
-  uint64_t stale_items = 0;       // Dropped, since the copy has a higher revision of them.
-  uint64_t lost_histories = 0;    // Watches that the store had no history for.
+  store::Revision known = 0;      // The copy includes all changes up to this revision.
+  store::Revision announced = 0;  // The newest revision that another node announced.
+  Duration behind_for{0};         // Since the first missing revision was announced; zero: current.
+  uint64_t stale_items = 0;       // Items ignored because the copy has a newer revision of them.
+  uint64_t lost_histories = 0;    // Watches that failed because the store lacked the history.
 };
 
 // Deterministic; not thread-safe.
 class FreshnessTracker {
  public:
-  // Another node has all changes up to `announced`. An older announcement takes a newer one back
-  // only when that was not repeated for some seconds: whoever made it may have been wrong.
+  // Another node has all changes up to `announced`. An older revision replaces a newer one only
+  // when the newer one was not repeated for some seconds, and so may have been wrong.
   void OnAnnounced(Instant now, store::Revision announced);
-  // The copy includes all changes up to `known`. Returns for how long it was behind, when it no
-  // longer is.
+  // The copy includes all changes up to `known`. When it thereby catches up, returns how long it
+  // was behind.
   std::optional<Duration> OnKnown(Instant now, store::Revision known);
   Freshness At(Instant now) const;
 
--- a/source/sidecar/peer_directory.cc
+++ b/source/sidecar/peer_directory.cc
@@ -6,9 +6,10 @@
 namespace runshelf::sidecar {
 namespace {
 
-// A node without an item is kept while it answers: leases run out when the store is away.
+// A node without an item is kept while it answers, since leases expire while the store is
+// unavailable.
 constexpr Duration kUnlistedNodeRetention = std::chrono::seconds(3);
-// Answers younger than this make a node a candidate for passing calls to the store on.
+// Nodes with an answer more recent than this are preferred as relays for store calls.
 constexpr Duration kRelayAnswerAge = std::chrono::seconds(10);
 
 routing::LoadBalancerConfig BalancerConfig() {
@@ -39,14 +40,15 @@
       failures_(DetectorConfig()) {}
 
 InstanceId PeerDirectory::InstanceOf(const std::string& node) const {
-  // Load and failures are kept by node: the worker beside it may change.
+  // Load and failures are tracked per node, with a constant incarnation, since its worker may be
+  // replaced.
   return InstanceId{node, 1};
 }
 
 void PeerDirectory::OnRecord(const NodeRecord& record) {
   removed_.erase(record.node);
   Peer& peer = peers_[record.node];
-  // Another process is there than the one that said that it stops.
+  // The process that announced its stop has been replaced.
   if (peer.record.incarnation != record.incarnation) peer.stop.reset();
   peer.record = record;
   peer.listed = true;
@@ -166,7 +168,7 @@
   exclude(&skipped);
   auto choice = balancer_.Choose(now, targets, skipped, own_zone_, random, answer_size);
   if (!choice.has_value()) {
-    // Better one that failed lately than none.
+    // Fall back to nodes that failed recently.
     std::vector<bool> only_excluded(targets.size(), false);
     exclude(&only_excluded);
     choice = balancer_.Choose(now, targets, only_excluded, own_zone_, random, answer_size);
--- a/source/sidecar/peer_protocol.cc
+++ b/source/sidecar/peer_protocol.cc
@@ -36,7 +36,7 @@
 constexpr std::string_view kPassOnTo = "Runshelf-Pass-On-To";
 constexpr std::string_view kFailedReaders = "Runshelf-Failed-Readers";
 constexpr char kNameSeparator = ',';
-// More ends are not remembered.
+// No more ends than this are recorded.
 constexpr int64_t kMaxExcusedEnds = 5000;
 constexpr int64_t kMaxMilliseconds = int64_t{3600} * 1000;
 
--- a/source/sidecar/peer_protocol.h
+++ b/source/sidecar/peer_protocol.h
@@ -1,5 +1,5 @@
-// What nodes say to each other over HTTP: forwarded requests, their answers, calls to the store
-// that one passes on for another. Spelled out in docs/PROTOCOLS.md.
+// The HTTP headers of the protocol between nodes: forwarded requests, their answers, relayed store
+// calls and state changes. Specified in docs/PROTOCOLS.md.
 #pragma once
 
 #include <optional>
@@ -14,52 +14,54 @@
 
 namespace runshelf::sidecar::peer_protocol {
 
-// All headers of this protocol begin so; clients cannot set them.
+// Prefix of all headers of this protocol; clients cannot set them.
 constexpr std::string_view kHeaderPrefix = "Runshelf-";
 
-// Removes the protocol's headers, from what clients send and from answers for them.
+// Removes the protocol's headers from a client's request, or from an answer to a client.
 void RemoveHeaders(http::Headers* headers);
 
-// Adds what the receiving node needs to know; the deadlines travel as what is left of them.
+// Adds the headers that describe the attempt to the receiving node. Deadlines are sent as the time
+// remaining, since clocks of different machines cannot be compared.
 void AddAttemptHeaders(const AttemptRequest& attempt, Instant now, http::Headers* headers);
 
-// Reads and removes those headers; nullopt when one is missing or broken. `request` becomes the
-// request of the attempt.
+// Reads and removes those headers; nullopt when a required one is missing or one is malformed.
+// `request` becomes the request of the attempt.
 std::optional<AttemptRequest> ReadAttempt(http::Request request, Instant now);
 
-// The answer of the worker, or why there is none.
+// The load of the answering node's worker.
 void AddLoad(const routing::TargetLoad& load, http::Headers* headers);
 std::optional<routing::TargetLoad> ReadLoad(const http::Headers& headers);
-// The answering node is told to stop; nothing is added for one that is not.
+// Announces that the answering node is stopping; adds nothing when it is not.
 void AddStopNotice(const std::optional<StopNotice>& notice, http::Headers* headers);
 std::optional<StopNotice> ReadStopNotice(const http::Headers& headers);
+// The reason why the worker gave no answer.
 http::Headers FailureHeaders(const AttemptFailure& failure);
 std::optional<AttemptFailure> ReadFailure(const http::Headers& headers);
 
-// A call to the store that the receiving node is to pass on.
+// Marks a store call that the receiving node should relay.
 void MarkStoreCall(http::Headers* headers);
 bool IsStoreCall(const http::Headers& headers);
 
-// Changes of the state in the store, which the receiving node takes over.
+// Marks a body with changes of the state, which the receiving node applies.
 void MarkChangeSet(http::Headers* headers);
 bool IsChangeSet(const http::Headers& headers);
-// A request for the copy of a prefix that the receiving node has.
+// Marks a request for the receiving node's snapshot of a prefix.
 void MarkSnapshotRequest(const std::string& prefix, http::Headers* headers);
-// The prefix; nullopt: it is no such request.
+// The prefix; nullopt when it is not a snapshot request.
 std::optional<std::string> ReadSnapshotRequest(const http::Headers& headers);
-// The end of a worker, which the sender cannot write to the store; see WorkerEnd. `write`: the
-// receiving node is to write it once the store takes it.
+// Marks a report of a worker's end that the sender cannot write to the store; see WorkerEnd.
+// `write`: the receiving node should write it as soon as the store accepts it.
 void MarkWorkerEnd(bool write, http::Headers* headers);
 bool IsWorkerEnd(const http::Headers& headers);
 bool IsWorkerEndToWrite(const http::Headers& headers);
-// The receiving node is to pass them on to all others of its zone.
+// The receiving node should forward the changes to all other nodes of its zone.
 void MarkForZone(http::Headers* headers);
 bool IsForZone(const http::Headers& headers);
-// The receiving node is to pass them on to these. Nodes whose names cannot stand in a header are
-// left out; they catch up by themselves.
+// The receiving node should forward the changes to these nodes. Nodes whose names cannot be encoded
+// in a header are omitted; they catch up by themselves.
 void MarkPassOnTo(const std::vector<std::string>& nodes, http::Headers* headers);
 std::vector<std::string> ReadPassOnTo(const http::Headers& headers);
-// Nodes that were asked before and did not acknowledge the changes.
+// Nodes that were asked to forward the changes before and did not acknowledge them.
 void MarkFailedReaders(const std::vector<std::string>& nodes, http::Headers* headers);
 std::vector<std::string> ReadFailedReaders(const http::Headers& headers);
 
--- a/source/sidecar/state_feed.cc
+++ b/source/sidecar/state_feed.cc
@@ -10,13 +10,13 @@
 namespace runshelf::sidecar {
 namespace {
 
-// Nodes that watch the store: the leader and the one that stands by.
+// Nodes that watch the store: the leader and the standby.
 constexpr size_t kWatchingNodes = 2;
-// Larger items are passed on as patches.
+// Items of at least this size are forwarded as patches.
 constexpr size_t kPatchedItemBytes = 1024;
-// Other nodes that are asked in place of one that did not acknowledge a change.
+// Number of nodes that replace one that did not acknowledge a change.
 constexpr size_t kMaxReplacementPushes = 2;
-// The links carry other things too.
+// Allowance for other traffic on the links: transmission times count this many times.
 constexpr int kLinkShareFactor = 2;
 
 }  // namespace
@@ -44,7 +44,7 @@
   }
   last_beacon_at_ = started_at_;
   if (!transport_->ListenForBeacons([this](std::string_view data) { OnBeacon(data); })) return;
-  // Until a leader is heard, or none is after all.
+  // Follow until a beacon arrives or the follower timeout expires.
   SetRole(/*leading=*/false, /*watching=*/false);
   Tick();
 }
@@ -89,7 +89,7 @@
   }
   leading_ = leading;
   watching_ = watching;
-  // While it follows, the items change without this node's seeing what others had before.
+  // A follower does not know which versions the other nodes have, so it keeps no patch bases.
   if (!watching) large_items_.clear();
   for (store::PrefixWatcher* watcher : watchers_) {
     watcher->SetConfirming(watching);
@@ -130,7 +130,7 @@
 
 void StateFeed::UpdateFreshness(const store::PrefixWatcher& watcher) {
   const auto behind_for = freshness_[watcher.prefix()].OnKnown(loop_.Now(), watcher.revision());
-  // Announcements overtake changes; only what takes longer than that is worth a line.
+  // A beacon often arrives before the change that it announces; only longer delays are logged.
   if (!behind_for.has_value() || *behind_for < config_.beacon_interval) return;
   log_.Write(LogLevel::kInfo, "state_caught_up",
              {{"prefix", watcher.prefix()},
@@ -168,7 +168,7 @@
               {"took_ms", ToMilliseconds(transfer.took)}});
 }
 
-// The store may refuse the leader while it serves this node.
+// The store may refuse requests of the leader while it serves this node.
 void StateFeed::PushChangesMissedByLeader(const StateBeacon& beacon) {
   for (const store::PrefixWatcher* watcher : watchers_) {
     const std::string& prefix = watcher->prefix();
@@ -187,9 +187,9 @@
   }
 }
 
-// The first of the zone that follows: its copy has exactly the revisions that the leader's patches
-// start from, while one that watches the store for itself has others in between. That first one
-// asks the leader.
+// The follower with the lowest rank in the zone: its items have exactly the revisions that the
+// leader's patches are based on, while a node that watches the store has others in between. That
+// follower itself asks the leader.
 std::optional<StateFeed::CopySource> StateFeed::SnapshotSource() const {
   const Peer* leader = peers_.Find(last_leader_);
   if (leader == nullptr) return std::nullopt;
@@ -271,7 +271,7 @@
   if (leading_) PushToAll(SerializeChanges(watcher.prefix(), passed_on));
 }
 
-// Remembers the large items, so that the next change of one needs only what is new in it.
+// Keeps the large items as bases, so that their next changes are sent as patches.
 ForwardedChanges StateFeed::PatchLargeItems(const store::ChangeSet& changes) {
   ForwardedChanges result = WithFullValues(LatestOfEachItem(changes));
   for (ForwardedEvent& passed_on : result.events) {
@@ -349,8 +349,8 @@
       });
 }
 
-// A change that does not arrive at one node is noticed by its next beacon. Nodes that wait for one
-// that failed would all read the store, so that others are asked.
+// A single node that misses a change notices it from the next beacon. When a forwarding node fails,
+// however, all nodes behind it would read the store, so others are asked to forward instead.
 void StateFeed::OnPushFailed(const FeedReceiver& receiver,
                              const std::shared_ptr<const std::string>& body, size_t tries_left) {
   if (!receiver.reads_for_zone && receiver.forward_to.empty()) return;
@@ -359,14 +359,14 @@
   log_.Write(LogLevel::kInfo, "zone_reader_failed",
              {{"node", receiver.node}, {"zone", receiver.zone}, {"tries_left", tries_left}});
   if (tries_left == 0) return;
-  // All at once: nodes that are neighbours in line may stand still together, and each costs the
-  // wait for its answer.
+  // All at once: nodes with adjacent ranks may be unresponsive together, and trying them in turn
+  // would cost a time-out each.
   auto next = receiver.reads_for_zone
                   ? tree_.ReadersOf(now, receiver.zone, tries_left)
                   : AssignForwarding(tree_.ReceiversAmong(now, receiver.forward_to), tries_left);
   std::erase_if(next, [&](const FeedReceiver& other) { return other.node == receiver.node; });
   for (FeedReceiver& one : next) {
-    // None of them relies on another, which may not answer either.
+    // None of them forwards through another, which may not answer either.
     for (const FeedReceiver& other : next) {
       if (other.node != one.node) one.failed.push_back(other.node);
     }
@@ -381,14 +381,14 @@
   const bool understood = ParseChanges(body, &prefix, &changes);
   acknowledge(understood);
   if (!understood) return;
-  // Before they are applied: a configuration of thousands of routes keeps a small machine busy for
-  // longer than it takes to send.
+  // Forwarded before applied: on a small machine, applying a configuration of thousands of routes
+  // takes longer than sending it.
   const std::set<std::string> sent_to = ForwardChanges(body, order);
   ApplyForwardedChanges(prefix, changes);
   if (order.whole_zone) ForwardToNewNodes(body, sent_to);
 }
 
-// The changes may have told of nodes of the zone that were not known when they were passed on.
+// The changes may have added nodes of the zone that were not known when they were forwarded.
 void StateFeed::ForwardToNewNodes(const std::string& body, const std::set<std::string>& sent_to) {
   std::vector<FeedReceiver> receivers = tree_.ReceiversInZone(loop_.Now());
   std::erase_if(receivers,
@@ -405,7 +405,7 @@
     } else if (watcher->following()) {
       watcher->CatchUp(changes.to);
     }
-    // One that watches the store gets from there what it cannot take from another's patch.
+    // A node that watches the store reads there what it cannot patch.
     UpdateFreshness(*watcher);
   }
 }
--- a/source/sidecar/text_patch.cc
+++ b/source/sidecar/text_patch.cc
@@ -12,7 +12,7 @@
 
 constexpr char kRowEnd = ']';
 
-// A part of the new text: copied from the base, or written out.
+// A part of the new text: a range of the base, or a literal.
 struct Part {
   size_t offset = 0;
   size_t length = 0;
--- a/source/sidecar/transfer_plan.cc
+++ b/source/sidecar/transfer_plan.cc
@@ -10,10 +10,10 @@
 constexpr double kBytesPerMegabit = 125000;
 constexpr size_t kMinCopies = 2;
 
-// Of a link whose width is not known, in comparison with others.
+// Assumed bandwidth of a link of unknown bandwidth, for comparison with other links.
 constexpr uint32_t kUnknownLinkMegabits = 100;
 
-// How much of its link a receiver spends if it serves one more node.
+// Relative load of a receiver's link if it forwards to one more node.
 double LoadWithOneMore(const FeedReceiver& receiver) {
   const uint32_t megabits =
       receiver.link_megabits == 0 ? kUnknownLinkMegabits : receiver.link_megabits;
--- a/tests/sidecar/feed_tree_test.cc
+++ b/tests/sidecar/feed_tree_test.cc
@@ -1,5 +1,5 @@
-// The load that the tree answers: a fleet of hundreds of nodes, each of which changes the state
-// when it starts. 194 nodes in 6 zones is the size at which bytes between zones were measured.
+// Uses a fleet of 194 nodes in 6 zones, the size for which feed_tree.h gives traffic figures. Each
+// node changes the state when it starts.
 #include "source/sidecar/feed_tree.h"
 
 #include <CppUTest/TestHarness.h>
@@ -64,7 +64,7 @@
       reached.insert(neighbour.node);
     }
   }
-  // Sent to all by one node, it would leave the zone 161 times.
+  // If the origin sent the change to every node itself, it would leave the zone 161 times.
   CHECK_EQUAL(kZones - 1, between_zones);
   CHECK_EQUAL(kNodes, reached.size());
   for (size_t index = 0; index < kNodes; ++index) CHECK_EQUAL(1, reached.count(NodeName(index)));
@@ -86,7 +86,7 @@
   STRCMP_EQUAL("wide", tree.ReaderOf(now, "z2")->node.c_str());
 }
 
-TEST(FeedTree, NeighboursThatMayBestPassAChangeOnComeFirst) {
+TEST(FeedTree, NodesBestSuitedForForwardingComeFirst) {
   AddFleet();
   NodeRecord wide = Record("wide", "z0", 50);
   wide.link_megabits = 200;
@@ -94,12 +94,12 @@
   STRCMP_EQUAL("wide", tree.ReceiversInZone(now).front().node.c_str());
   tree.OnReaderFailed(now, "wide");
   STRCMP_EQUAL("wide", tree.ReceiversInZone(now).back().node.c_str());
-  // Of a list, those of this zone that are known, without this node.
+  // Only known nodes of this zone, without this node itself.
   const auto among = tree.ReceiversAmong(now, {"n0", "n6", "n1", "gone", "n12"});
   CHECK_EQUAL(2, among.size());
 }
 
-TEST(FeedTree, AReaderThatFailedIsPassedOverForAWhile) {
+TEST(FeedTree, AFailedReaderIsAvoidedForTheHoldOffTime) {
   AddFleet();
   peers.OnRecord(Record("strong", "z1", /*processor_percent=*/50));
   tree.OnReaderFailed(now, "strong");
@@ -128,12 +128,13 @@
   CHECK_FALSE(tree.ReaderOf(now, "z9").has_value());
 }
 
-TEST(FeedTree, TheLineGoesByStrengthAndThenMixesNames) {
+TEST(FeedTree, RanksByProcessorTimeThenByHashOfName) {
   CHECK(RankOf(Record("weak", "z0", 10)).processor_percent == 10);
   CHECK(RankOf(Record("x", "z0", 50)) < RankOf(Record("y", "z0", 10)));
   CHECK_FALSE(RankOf(Record("y", "z0", 10)) < RankOf(Record("x", "z0", 50)));
   CHECK_FALSE(RankOf(Record("x", "z0")) < RankOf(Record("x", "z0")));
-  // Of equal machines no zone has all of the first places: neighbours by name share a zone.
+  // Among equal machines the first ranks are spread over zones, though nodes with adjacent names
+  // share a zone.
   std::map<CandidateRank, std::string> line;
   for (size_t index = 0; index < 60; ++index) {
     line[RankOf(Record(NodeName(index), "z0"))] = "z" + std::to_string(index / 10);
--- a/tests/sidecar/freshness_tracker_test.cc
+++ b/tests/sidecar/freshness_tracker_test.cc
@@ -16,7 +16,7 @@
   CHECK(tracker.At(now + std::chrono::seconds(9)).behind_for == Duration(0));
 }
 
-// Guards against an age that starts anew with every announcement.
+// Guards against resetting the time behind with every announcement.
 TEST(FreshnessTracker, TheTimeBehindCountsFromTheFirstChangeThatIsMissing) {
   tracker.OnKnown(now, 5);
   tracker.OnAnnounced(now, 6);
@@ -30,8 +30,8 @@
   CHECK(tracker.At(now + std::chrono::seconds(5)).behind_for == Duration(0));
 }
 
-// Guards against a node that takes itself for old for ever after one wrong announcement.
-TEST(FreshnessTracker, AnAnnouncementThatIsNotRepeatedLapses) {
+// Guards against a node that considers itself behind forever after one wrong announcement.
+TEST(FreshnessTracker, AnAnnouncementThatIsNotRepeatedExpires) {
   tracker.OnKnown(now, 5);
   tracker.OnAnnounced(now, 1000);
   tracker.OnAnnounced(now + std::chrono::seconds(4), 5);
@@ -40,8 +40,8 @@
   CHECK(tracker.At(now + std::chrono::seconds(6)).behind_for == Duration(0));
 }
 
-// Guards against a node that takes itself for current since a leader is behind.
-TEST(FreshnessTracker, AnOlderAnnouncementTakesNothingBack) {
+// Guards against a node that considers itself current because another leader is behind.
+TEST(FreshnessTracker, AnOlderAnnouncementDoesNotReplaceANewerOne) {
   tracker.OnKnown(now, 5);
   tracker.OnAnnounced(now, 8);
   tracker.OnAnnounced(now, 4);
--- a/tests/sidecar/peer_directory_test.cc
+++ b/tests/sidecar/peer_directory_test.cc
@@ -34,7 +34,7 @@
     return directory.Choose(now, kService, excluded, random).value_or("none");
   }
 
-  // A node says with an answer that it stops, as it does a second after it was told to.
+  // A node announces its stop with an answer, a second after it was told to stop.
   void AnswerStopping(const std::string& node) {
     directory.OnAnswer(now, node, StopNotice{kTakesRequests, kEnds});
   }
@@ -62,7 +62,7 @@
   STRCMP_EQUAL("a", Choose({"b"}).c_str());
 }
 
-// Leases run out while the store is away: a node that answers is alive whatever its item says.
+// Leases expire while the store is unavailable: a node that answers is alive even without an item.
 TEST(PeerDirectory, ANodeWithoutAnItemIsKeptWhileItAnswers) {
   directory.OnRecord(Record("a"));
   directory.OnRemoved(now, "a");
@@ -78,7 +78,7 @@
   STRCMP_EQUAL("none", Choose().c_str());
 }
 
-TEST(PeerDirectory, ANodeThatSaidItStopsGoesWithItsItem) {
+TEST(PeerDirectory, AStoppingNodeIsRemovedWithItsItem) {
   NodeRecord record = Record("a");
   record.stopping = true;
   directory.OnRecord(record);
@@ -102,8 +102,8 @@
   CHECK(directory.ChooseRelay(now, random).has_value());
 }
 
-// Its item in the store may say otherwise for as long as the store is away.
-TEST(PeerDirectory, ANodeThatSaysThatItStopsIsUsedOnlyWhenThereIsNoOther) {
+// While the store is unavailable, the node's item does not show the stop yet.
+TEST(PeerDirectory, ANodeThatAnnouncedItsStopIsUsedOnlyWhenThereIsNoOther) {
   directory.OnRecord(Record("a"));
   directory.OnRecord(Record("b"));
   AnswerStopping("a");
@@ -111,17 +111,17 @@
   STRCMP_EQUAL("a", Choose({"b"}).c_str());
   STRCMP_EQUAL("none", Choose({"a", "b"}).c_str());
   CHECK_EQUAL(1, directory.ServingNodes(now, kService));
-  // It refuses from now on.
+  // From now on the node refuses requests.
   now += kTakesRequests;
   STRCMP_EQUAL("none", Choose({"b"}).c_str());
 }
 
-TEST(PeerDirectory, AStopIsOverWithAnotherProcessAnAnswerOrItsTime) {
+TEST(PeerDirectory, AStopEndsWithANewProcessAnAnswerWithoutNoticeOrItsEndTime) {
   NodeRecord record = Record("a");
   record.incarnation = 1;
   directory.OnRecord(record);
   AnswerStopping("a");
-  // An older item of the same process comes late.
+  // An older item of the same process arrives late.
   directory.OnRecord(record);
   CHECK(directory.Find("a")->stopping());
   record.incarnation = 2;
@@ -137,7 +137,7 @@
   STRCMP_EQUAL("a", Choose().c_str());
 }
 
-TEST(PeerDirectory, ANodeThatSaysThatItStopsGoesWithItsItemAndIsNoRelay) {
+TEST(PeerDirectory, ANodeThatAnnouncedItsStopIsNoRelayAndIsRemovedWithItsItem) {
   directory.OnRecord(Record("a"));
   std::vector<std::string> told;
   directory.set_on_stop_notice([&](const std::string& node) { told.push_back(node); });
--- a/tests/sidecar/peer_protocol_test.cc
+++ b/tests/sidecar/peer_protocol_test.cc
@@ -9,7 +9,7 @@
 
 TEST_GROUP(PeerProtocol) { Instant now = InstantFromMicroseconds(1000000); };
 
-TEST(PeerProtocol, AnAttemptSurvivesItsWay) {
+TEST(PeerProtocol, AnAttemptIsUnchangedByItsHeaders) {
   AttemptRequest attempt;
   attempt.request_id = "r";
   attempt.service = "s";
@@ -37,7 +37,7 @@
   CHECK_EQUAL(1, read->request->head.headers.all().size());
 }
 
-TEST(PeerProtocol, NodesToPassAChangeOnToSurviveTheirWay) {
+TEST(PeerProtocol, ForwardingNodesAreEncodedAndInvalidNamesOmitted) {
   http::Headers headers;
   peer_protocol::MarkPassOnTo({"node-1", "node 2", "bad\r\nX: 1", "a,b", "", "node-3"}, &headers);
   const auto nodes = peer_protocol::ReadPassOnTo(headers);
@@ -48,7 +48,7 @@
   CHECK(peer_protocol::ReadPassOnTo(none).empty());
 }
 
-TEST(PeerProtocol, ABrokenAttemptIsRefused) {
+TEST(PeerProtocol, AMalformedAttemptIsRefused) {
   const std::pair<const char*, const char*> changes[] = {
       {"Runshelf-Deadline-Ms", "-1"},
       {"Runshelf-Deadline-Ms", "x"},
@@ -72,7 +72,7 @@
   CHECK_FALSE(peer_protocol::ReadAttempt({}, now).has_value());
 }
 
-TEST(PeerProtocol, AFailureSurvivesItsWay) {
+TEST(PeerProtocol, AFailureIsUnchangedByItsHeaders) {
   for (const FailureReason reason :
        {FailureReason::kFull, FailureReason::kNotOwner, FailureReason::kStopping,
         FailureReason::kIncomplete, FailureReason::kExpired}) {
@@ -87,7 +87,7 @@
   CHECK_FALSE(peer_protocol::ReadFailure({}).has_value());
 }
 
-TEST(PeerProtocol, ANoticeOfAStopSurvivesItsWay) {
+TEST(PeerProtocol, AStopNoticeIsUnchangedByItsHeaders) {
   http::Headers headers;
   peer_protocol::AddStopNotice(std::nullopt, &headers);
   CHECK_EQUAL(0, headers.all().size());
@@ -100,7 +100,7 @@
   CHECK_EQUAL(0, headers.all().size());
 }
 
-TEST(PeerProtocol, HeadersOfTheProtocolAreTakenFromClients) {
+TEST(PeerProtocol, HeadersOfTheProtocolAreRemovedFromClientRequests) {
   http::Headers headers;
   headers.Add("runshelf-weight", "1");
   headers.Add("RUNSHELF-Anything", "1");
@@ -109,7 +109,7 @@
   CHECK_EQUAL(1, headers.all().size());
 }
 
-TEST(PeerProtocol, ANodeRecordSurvivesItsWayAndBrokenOnesAreRefused) {
+TEST(PeerProtocol, ANodeRecordIsUnchangedBySerializationAndMalformedOnesAreRefused) {
   NodeRecord record;
   record.node = "n";
   record.incarnation = 7;
--- a/tests/sidecar/state_feed_test.cc
+++ b/tests/sidecar/state_feed_test.cc
@@ -9,7 +9,7 @@
 
 TEST_GROUP(StateFeedForms){};
 
-TEST(StateFeedForms, AChangeSetSurvivesItsWay) {
+TEST(StateFeedForms, AChangeSetIsUnchangedBySerialization) {
   store::ChangeSet changes;
   changes.from = 5;
   changes.to = 9;
@@ -32,7 +32,7 @@
   CHECK(read.events[1].event.removed);
 }
 
-TEST(StateFeedForms, APatchNeedsTheValueThatItStartsFrom) {
+TEST(StateFeedForms, APatchNeedsItsBaseRevision) {
   ForwardedChanges changes;
   changes.from = 5;
   changes.to = 8;
@@ -46,14 +46,14 @@
   STRCMP_EQUAL("[1],[3]", ApplyPatches(changes, items)->events[0].item.value.c_str());
   items["map"].revision = 4;
   CHECK_FALSE(ApplyPatches(changes, items).has_value());
-  // A newer value is kept: the event is one of the past.
+  // The receiver has a newer revision, so it keeps its own value.
   items["map"] = {"map", "[9]", 9, 0};
   STRCMP_EQUAL("[9]", ApplyPatches(changes, items)->events[0].item.value.c_str());
   items["map"] = {"map", "", 5, 0};
   CHECK_FALSE(ApplyPatches(changes, items).has_value());
 }
 
-TEST(StateFeedForms, OnlyTheLatestChangeOfAnItemIsPassedOn) {
+TEST(StateFeedForms, OnlyTheLatestChangeOfAnItemIsForwarded) {
   store::ChangeSet changes;
   changes.from = 5;
   changes.to = 8;
@@ -66,7 +66,7 @@
   CHECK_EQUAL(8, latest.to);
 }
 
-TEST(StateFeedForms, BytesThatAreNoChangeSetAreRefused) {
+TEST(StateFeedForms, MalformedChangeSetsAreRefused) {
   std::string prefix;
   ForwardedChanges changes;
   const std::string whole = SerializeChanges("p/", {false, 1, 2, {ForwardedEvent{}}});
@@ -77,7 +77,7 @@
   CHECK_FALSE(ParseChanges("{}", &prefix, &changes));
 }
 
-TEST(StateFeedForms, ABeaconSurvivesItsWayAndBrokenOnesAreRefused) {
+TEST(StateFeedForms, ABeaconIsUnchangedBySerializationAndMalformedOnesAreRefused) {
   StateBeacon beacon;
   beacon.node = "n";
   beacon.revisions["p/"] = 12;
--- a/tests/sidecar/text_patch_test.cc
+++ b/tests/sidecar/text_patch_test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Rows as in a shard map; `changed` has another token.
+// Rows as in a shard map; the row `changed` has a different token.
 std::string Rows(int count, int changed) {
   std::string text = "{\"last_token\":7,\"shards\":[";
   for (int row = 0; row < count; ++row) {
@@ -22,7 +22,7 @@
 
 TEST_GROUP(TextPatch){};
 
-TEST(TextPatch, LeadsFromOneTextToTheOther) {
+TEST(TextPatch, TurnsTheBaseIntoTheText) {
   const bool holds = rc::check([] {
     const auto alphabet = rc::gen::element('a', ']', '[', ',');
     const auto base = *rc::gen::container<std::string>(alphabet);
@@ -39,7 +39,7 @@
   CHECK(ApplyTextPatch(base, patch) == Rows(400, 200));
 }
 
-TEST(TextPatch, BrokenPatchesAndOtherBasesAreRefused) {
+TEST(TextPatch, MalformedPatchesAndTooShortBasesAreRefused) {
   const std::string base = Rows(20, -1);
   const std::string patch = MakeTextPatch(base, Rows(20, 3));
   for (size_t size = 0; size < patch.size(); ++size) {
--- a/tests/sidecar/transfer_plan_test.cc
+++ b/tests/sidecar/transfer_plan_test.cc
@@ -1,5 +1,5 @@
-// The load that the plan answers: a change of 110 kB for a zone of 28 nodes, most of them behind
-// links of 13 Mbit/s. To each of them by one: 1.9 s in which that link carries nothing else.
+// Distributes a change of 110 kB in a zone of 28 nodes, most of them with links of 13 Mbit/s. If
+// one node sent it to all others, its link would be saturated for 1.9 s.
 #include "source/sidecar/transfer_plan.h"
 
 #include <CppUTest/TestHarness.h>
@@ -30,12 +30,12 @@
   return receivers;
 }
 
-// Sends a change through a zone by the plan, each step when the copies of the one before are there.
+// Simulates the distribution of a change in a zone: each node forwards once it has received it.
 struct ForwardingSimulation {
   std::map<std::string, uint32_t> links;
   std::multiset<std::string> reached;
-  Duration longest{0};     // Until the last node has it.
-  size_t most_copies = 0;  // By one node behind a narrow link.
+  Duration longest{0};     // Until the last node has received it.
+  size_t most_copies = 0;  // Sent by one node with a narrow link.
 
   void From(uint32_t link, const std::vector<FeedReceiver>& receivers, Duration since) {
     if (receivers.empty()) return;
@@ -68,7 +68,7 @@
 
 TEST_GROUP(TransferPlan){};
 
-// Guards against a change that never arrives, since all copies share a link and run out of time.
+// Guards against a change that never arrives because all copies share one link and time out.
 TEST(TransferPlan, ALargeChangeReachesAZoneOfNarrowLinksInSteps) {
   const ForwardingSimulation spread(Zone(28, 0), kNarrow);
   CHECK_EQUAL(28, spread.reached.size());
@@ -94,13 +94,13 @@
                     [](const FeedReceiver& receiver) { return receiver.forward_to.empty(); }));
 }
 
-// Guards against a storm of changes that fills the link one by one.
-TEST(TransferPlan, WhatIsUnderWayCounts) {
+// Guards against many small changes that together saturate the link.
+TEST(TransferPlan, BytesInFlightReduceTheNumberOfCopies) {
   CHECK_EQUAL(2, CopiesWithin(kBudget, kNarrow, 500, 1000000));
   CHECK(CopiesWithin(kBudget, kNarrow, 500, 200000) < CopiesWithin(kBudget, kNarrow, 500, 0));
 }
 
-TEST(TransferPlan, ALinkOfUnknownWidthIsNotSpared) {
+TEST(TransferPlan, ALinkOfUnknownBandwidthIsTakenAsUnbounded) {
   CHECK_EQUAL(28, AssignForwarding(Zone(28, 0), CopiesWithin(kBudget, 0, kLargeChange, 0)).size());
   CHECK(TimeOnLink(kLargeChange, 0) == Duration(0));
 }
