--- a/include/runshelf/common/clock.h
+++ b/include/runshelf/common/clock.h
@@ -1,7 +1,8 @@
-// Time as the decision code sees it.
+// Time types, and the clock interface.
 //
-// Every decision takes `now` as an argument; only process shells read a real clock. That lets the
-// simulator run the production code under virtual time, with a different clock rate on every node.
+// Decision code takes the current time as an argument; only the outermost layer of each process
+// reads a real clock. The simulator can therefore run production code in virtual time, with a
+// different clock rate on every node.
 #pragma once
 
 #include <chrono>
@@ -9,8 +10,8 @@
 
 namespace runshelf {
 
-// The clock of one machine: monotonic, counts while the machine is suspended, and is shared by all
-// processes of that machine. Instants of different machines must never be compared.
+// The clock of one machine: monotonic, advances while the machine is suspended, and is shared by
+// all processes of that machine. Instants of different machines must never be compared.
 struct MachineClock {
   using duration = std::chrono::microseconds;
   using rep = duration::rep;
--- a/include/runshelf/common/instance_id.h
+++ b/include/runshelf/common/instance_id.h
@@ -1,8 +1,8 @@
-// Identity of one run of one process.
+// Identity of one run of a process.
 //
-// Machines have no disks: a restarted process remembers neither its votes nor its grants. It must
-// therefore never be taken for the process that ran on the same node before, and every start draws
-// a new incarnation.
+// Machines have no disks, so a restarted process has lost its votes and grants. It must never be
+// mistaken for the previous process on the same node; every start therefore draws a new random
+// incarnation number.
 #pragma once
 
 #include <compare>
@@ -13,9 +13,10 @@
 
 namespace runshelf {
 
+// A process on a node. Ordered by node, then by incarnation.
 struct InstanceId {
   std::string node;          // Name of the machine, unique in the fleet.
-  uint64_t incarnation = 0;  // Drawn at random when the process starts; never zero for a real one.
+  uint64_t incarnation = 0;  // Drawn at random at each start; zero only in an empty identity.
 
   // NOLINTNEXTLINE(modernize-use-nullptr): false alarm of clang-tidy 14 on `= default`.
   auto operator<=>(const InstanceId&) const = default;
--- a/include/runshelf/common/json_reader.h
+++ b/include/runshelf/common/json_reader.h
@@ -1,5 +1,5 @@
-// Typed reading of JSON that came from outside: a missing field, another type or a number out of
-// range is remembered instead of thrown.
+// Typed reading of untrusted JSON: a missing field, a wrong type or a number out of range makes
+// ok() false instead of throwing.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,17 @@
 
 namespace runshelf {
 
-// Most nested arrays and objects that a decoder accepts; deeper input is refused unread.
+// Maximum nesting depth of arrays and objects; deeper input is refused without parsing it.
 constexpr int kMaxJsonDepth = 32;
 
-// Most slots of one service; bounds what a few bytes of ranges can expand to.
+// Maximum number of slots of one service; limits how far a short list of ranges can expand.
 constexpr SlotNumber kMaxSlotCount = 1U << 20U;
 
-// Whether `text` nests arrays and objects at most kMaxJsonDepth deep, told without parsing it.
+// Whether `text` nests arrays and objects at most kMaxJsonDepth deep; does not parse it.
 bool HasBoundedDepth(const std::string& text);
 
-// Reads fields of one JSON object. After all reads, ok() tells whether each was there and fitting.
+// Reads fields of one JSON object. After all reads, ok() tells whether every field was present and
+// valid. `value` must outlive the reader.
 class JsonReader {
  public:
   explicit JsonReader(const nlohmann::json& value) : value_(value), ok_(value.is_object()) {}
@@ -29,7 +30,7 @@
   bool ok() const { return ok_; }
   void Fail() { ok_ = false; }
 
-  // Returns the field, or nullptr (and ok() is false from then on) when it is missing.
+  // Returns the field; nullptr when it is missing, which makes ok() false.
   const nlohmann::json* Require(const char* key);
   // Returns the field, or nullptr when it is missing.
   const nlohmann::json* Find(const char* key) const;
@@ -45,7 +46,7 @@
   JsonReader& Read(const char* key, std::vector<uint64_t>& out);
   JsonReader& Read(const char* key, std::vector<SlotRange>& out);
 
-  // Reads an array by `parse(element, item) -> bool` for each element.
+  // Reads an array by calling `parse(element, item) -> bool` for each element.
   template <typename Item, typename Parse>
   JsonReader& ReadArray(const char* key, std::vector<Item>& out, Parse parse) {
     const nlohmann::json* array = Require(key);
@@ -70,11 +71,12 @@
   bool ok_;
 };
 
-// The forms that Read takes: an InstanceId as its text, ranges as [[first, last], ...].
+// Writes the formats that Read accepts: an InstanceId as its text, ranges as [[first, last], ...].
 nlohmann::json ToJson(const std::vector<InstanceId>& instances);
 nlohmann::json ToJson(const std::vector<SlotRange>& ranges);
 
-// Parses one InstanceId; the empty text stands for no instance.
+// Parses one InstanceId; an empty string stands for no instance. Returns false when `value` is
+// neither.
 bool ParseInstance(const nlohmann::json& value, InstanceId& out);
 
 }  // namespace runshelf
--- a/include/runshelf/common/random.h
+++ b/include/runshelf/common/random.h
@@ -1,4 +1,4 @@
-// Randomness behind an interface, so that a simulated run is repeatable from its seed.
+// Random numbers behind an interface, so that a simulated run can be reproduced from its seed.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace runshelf {
 
-// Source of random numbers. Not safe for use by several threads at once.
+// Source of random numbers. Not thread-safe.
 class Random {
  public:
   virtual ~Random() = default;
@@ -19,13 +19,13 @@
   // Returns a number in [0, bound); `bound` must not be zero.
   uint64_t Below(uint64_t bound) { return Next() % bound; }
 
-  // Returns a duration in [low, high).
+  // Returns a duration in [low, high); `low` when the range is empty.
   Duration Between(Duration low, Duration high) {
     return high <= low ? low : low + Duration(static_cast<int64_t>(Below((high - low).count())));
   }
 };
 
-// The same seed yields the same numbers on every machine.
+// Generates the same numbers from the same seed on every machine.
 class SeededRandom : public Random {
  public:
   explicit SeededRandom(uint64_t seed) : engine_(seed) {}
@@ -35,7 +35,7 @@
   std::mt19937_64 engine_;
 };
 
-// Seeds itself from the operating system.
+// Seeded by the operating system.
 class SystemRandom : public Random {
  public:
   SystemRandom();
--- a/include/runshelf/common/status_line.h
+++ b/include/runshelf/common/status_line.h
@@ -1,12 +1,13 @@
-// Recognizes the first line of an HTTP/1 answer in other text.
+// Detects the status line of an HTTP/1 response within other text.
 #pragma once
 
 #include <string_view>
 
 namespace runshelf {
 
-// Whether `text` contains the beginning of a status line up to the status, as "HTTP/1.1 200". The
-// head of an answer that does, past its own, broke off and goes on as another answer.
+// Whether `text` contains the beginning of a status line up to the status code, such as
+// "HTTP/1.1 200". A response head that contains one after its own status line was truncated and
+// continues with another response.
 bool ContainsStatusLine(std::string_view text);
 
 }  // namespace runshelf
--- a/source/common/instance_id.cc
+++ b/source/common/instance_id.cc
@@ -20,7 +20,7 @@
 }
 
 InstanceId NewInstanceId(const std::string& node, Random& random) {
-  // Zero is kept free as "no instance".
+  // Zero is reserved for "no instance".
   return {node, (random.Next() >> 1U) + 1};
 }
 
--- a/source/common/log.cc
+++ b/source/common/log.cc
@@ -70,7 +70,7 @@
       fmt::format("time={:%Y-%m-%dT%H:%M:%S}.{:03}Z {}\n",
                   fmt::gmtime(std::chrono::system_clock::to_time_t(now)),
                   now.time_since_epoch().count() % 1000, FormatLogLine(level, event, fields));
-  // One write per line keeps lines of concurrent threads whole.
+  // A single write per line keeps lines of concurrent threads from interleaving.
   [[maybe_unused]] const ssize_t written = ::write(STDERR_FILENO, line.data(), line.size());
 }
 
--- a/source/common/status_line.cc
+++ b/source/common/status_line.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::string_view kProtocol = "HTTP/1.";
-// Of the pattern that follows the protocol: a digit stands for any.
+// Pattern for the text after kProtocol; a digit in it matches any digit.
 constexpr std::string_view kMinorVersionAndStatus = "0 000";
 
 bool IsDigit(char character) { return character >= '0' && character <= '9'; }
--- a/source/routes/routing_configuration.h
+++ b/source/routes/routing_configuration.h
@@ -1,4 +1,4 @@
-// The routes, services and limits that operators have put in force.
+// One version of the routing configuration: routes, services and limits set by operators.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace runshelf::routes {
 
-// What may be done with a request whose outcome is not known.
+// Whether a request may be repeated when its outcome is unknown.
 enum class RequestKind {
   kIdempotent,     // It may run more than once.
   kNonIdempotent,  // It runs at most once for each client attempt.
@@ -21,40 +21,42 @@
 
 constexpr bool IsRepeatable(RequestKind kind) { return kind != RequestKind::kNonIdempotent; }
 
+// A target of a route; traffic is split in proportion to the weights.
 struct WeightedService {
   std::string service;
   uint32_t weight = 0;
 };
 
+// Maps requests by host and path prefix to services.
 struct Route {
   std::string name;
   std::string host;
   std::string path_prefix;
   RequestKind kind = RequestKind::kNonIdempotent;
-  std::optional<Duration> timeout;         // The longest time a request is held.
-  std::optional<Duration> target_latency;  // Within which an answer is worth most.
-  int priority = 0;                        // Zero is served first.
+  std::optional<Duration> timeout;         // Maximum time until the answer.
+  std::optional<Duration> target_latency;  // Desired time until the answer.
+  int priority = 0;                        // Zero is the highest priority.
   uint32_t max_attempts = 1;               // Workers that one request may be sent to.
   std::vector<WeightedService> services;   // At least one.
 };
 
-// How the workers of a service that is divided by key learn which keys they hold.
+// How the workers of a sharded service learn which keys they own.
 enum class GrantDelivery {
-  kCalls,       // The node beside a worker sends grants and releases to it.
-  kHeartbeats,  // The answer to a worker's heartbeat lists all keys that it is to hold.
+  kCalls,       // The worker's sidecar sends it grants and releases.
+  kHeartbeats,  // The answer to a worker's heartbeat lists all keys that it should own.
 };
 
 struct Service {
   std::string name;
   std::string health_check_path = "/";
-  uint32_t max_connections = 0;  // Of all callers to one worker; zero: not known.
-  bool sharded = false;          // Divided by key among its workers.
-  // nullopt: as the settings of the node say.
+  uint32_t max_connections = 0;  // Limit of one worker, over all callers; zero: not known.
+  bool sharded = false;          // Its keys are divided among its workers.
+  // nullopt: as set in the node's settings.
   std::optional<GrantDelivery> grant_delivery;
-  Duration warm_up{0};  // How long keys without a handover are slow.
+  Duration warm_up{0};  // How long requests for a key are slow after a move without handover.
 };
 
-// Bounds on what clients may send. Zero: the process's default.
+// Limits on client requests. Zero: the default of the process.
 struct ClientLimits {
   int64_t max_header_bytes = 0;
   int64_t max_body_bytes = 0;
@@ -62,7 +64,7 @@
   Duration idle_timeout{0};
 };
 
-// One version of the configuration; immutable once built.
+// One version of the configuration; immutable after construction.
 class RoutingConfiguration {
  public:
   RoutingConfiguration() = default;
@@ -73,8 +75,8 @@
   const ClientLimits& limits() const { return limits_; }
   const std::vector<Route>& routes() const { return routes_; }
 
-  // The route of the host (without a port, in any case of letters) with the longest prefix that
-  // begins the path; nullptr when there is none.
+  // The route of the host (its port and the case of its letters are ignored) with the longest
+  // matching path prefix; nullptr when there is none.
   const Route* Match(std::string_view host, std::string_view path) const;
   const Service* FindService(const std::string& name) const;
 
--- a/tests/common/slot_test.cc
+++ b/tests/common/slot_test.cc
@@ -13,7 +13,7 @@
 TEST_GROUP(Slot){};
 
 TEST(Slot, KeyHashIsStable) {
-  // Fixed values: a change of hash would move every key of a running fleet.
+  // Compares with fixed values: a change of the hash would move every key of a running fleet.
   UNSIGNED_LONGS_EQUAL(runshelf::SlotOfKey("release-1", 1024),
                        runshelf::SlotOfKey("release-1", 1024));
   UNSIGNED_LONGS_EQUAL(0x2d06800538d394c2ULL % 1024, runshelf::SlotOfKey("", 1024));
