--- a/source/http/answer_match.h
+++ b/source/http/answer_match.h
@@ -1,4 +1,4 @@
-// How a client tells the answer to its request from others on the connection.
+// How a client distinguishes the answer to its request from other answers on the connection.
 #pragma once
 
 #include <optional>
@@ -8,45 +8,45 @@
 
 namespace runshelf::http {
 
-// A server may answer a request twice, the second time where the next answer on the connection is
-// expected. Each call states what keeps it from taking such an answer for its own; there is no
-// default.
+// A faulty server may answer a request twice, and the second answer arrives where the answer to the
+// next request on the connection is expected. Each call therefore states how it avoids accepting
+// such an answer; there is no default.
 class AnswerMatch {
  public:
-  // The server repeats this header of the request in its answer. An answer with another value is
+  // The server echoes this header of the request in its answer. An answer with another value is
   // skipped, and so is one without the header when the connection has carried other requests. A
-  // value that is sent again goes out on another connection.
+  // request that repeats a value is sent on another connection.
   static AnswerMatch EchoedHeader(std::string name, std::string value) {
     AnswerMatch match(kEchoedHeaderLane);
     match.header_ = std::move(name);
     match.value_ = std::move(value);
     return match;
   }
-  // The answer carries this header, and no answer to any other request of the lane does. The
-  // connection carries no request after it.
+  // The answer has this header, and no answer to any other request of the lane does. The connection
+  // carries no further request.
   static AnswerMatch MarkedAnswer(std::string name, std::string_view lane) {
     AnswerMatch match = Lane(lane);
     match.header_ = std::move(name);
     match.last_on_connection_ = true;
     return match;
   }
-  // Nothing in the answer tells. Its connection carries no other request.
+  // The answer does not identify its request. Its connection carries no other request.
   static AnswerMatch OwnConnection() {
     AnswerMatch match(std::nullopt);
     match.last_on_connection_ = true;
     return match;
   }
-  // Nothing in the answer tells, and the answer to any request of this lane serves each of them as
-  // well: their connections carry no others.
+  // The answer does not identify its request, but answers to requests of this lane are
+  // interchangeable. The connections of the lane carry no other requests.
   static AnswerMatch Lane(std::string_view lane) {
     return AnswerMatch("lane " + std::string(lane));
   }
   // The server answers each request once, in the order of the requests.
   static AnswerMatch InOrder() { return AnswerMatch(kInOrderLane); }
 
-  // Connections are shared within a lane only; nullopt: by nobody.
+  // The group of requests that may share connections; nullopt: the connection is not shared.
   const std::optional<std::string>& lane() const { return lane_; }
-  // The answer is known by a header, and by the value of it unless that is empty.
+  // Whether the answer is identified by a header, and by that header's value.
   bool by_header() const { return !header_.empty(); }
   bool by_value() const { return by_header() && !value_.empty(); }
   // The connection is closed after the answer.
@@ -61,7 +61,7 @@
   explicit AnswerMatch(std::optional<std::string> lane) : lane_(std::move(lane)) {}
 
   std::optional<std::string> lane_;
-  std::string header_;  // Empty: the answer is not known by a header.
+  std::string header_;  // Empty: the answer is not identified by a header.
   std::string value_;
   bool last_on_connection_ = false;
 };
--- a/source/http/call_set.cc
+++ b/source/http/call_set.cc
@@ -10,7 +10,7 @@
   calls_[id] = std::make_unique<SimpleCall>(
       loop_, pool_, endpoint, request, options, timeout,
       [this, id, callback = std::move(callback)](std::optional<Response> response, ClientFailure) {
-        // Kept until the callback is over: it runs inside the call.
+        // Keeps the call alive while the callback runs inside it.
         const auto finished = std::move(calls_[id]);
         calls_.erase(id);
         callback(std::move(response));
--- a/source/http/call_set.h
+++ b/source/http/call_set.h
@@ -1,4 +1,4 @@
-// Simple calls under way, kept until each is over.
+// Owns simple calls until they complete.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,22 @@
 
 namespace runshelf::http {
 
-// Destroying the set cancels its calls; their callbacks are then not made.
+// Destroying the set cancels its calls without invoking their callbacks.
 class CallSet {
  public:
-  // The response is absent when no complete answer came in time.
+  // The response is absent when no complete answer arrived in time.
   using Callback = std::function<void(std::optional<Response>)>;
 
   CallSet(event::EventLoop& loop, ConnectionPool& pool) : loop_(loop), pool_(pool) {}
   CallSet(const CallSet&) = delete;
   CallSet& operator=(const CallSet&) = delete;
 
-  // Returns a number that no other call of this set has. The callback comes later, never from here.
+  // Returns an identifier that is unique within this set. The callback is invoked later, never from
+  // within Start.
   uint64_t Start(const event::Endpoint& endpoint, std::string_view request,
                  const CallOptions& options, Duration timeout, Callback callback);
-  // Its callback is not made, and its connection is closed. Not from that callback.
+  // Closes the call's connection without invoking its callback. Must not be called from that
+  // callback.
   void Cancel(uint64_t call) { calls_.erase(call); }
   size_t size() const { return calls_.size(); }
 
--- a/source/http/client.cc
+++ b/source/http/client.cc
@@ -8,19 +8,19 @@
 namespace runshelf::http {
 namespace {
 
-// However slowly an answer arrives, a call lasts no longer than this many of its timeouts.
+// Maximum duration of a call, in multiples of its timeout, however slowly its answer arrives.
 constexpr int kMaxAnswerTimeouts = 10;
 
-// Share of the server's Keep-Alive time after which an idle connection is not used any more: the
-// server counts from when it sent its answer, and may close early.
+// Fraction of the server's Keep-Alive time after which an idle connection is closed. The server
+// counts from when it sent its answer, and may close early.
 constexpr double kKeepAliveShare = 0.7;
 constexpr size_t kMaxIdlePerLane = 32;
-// Of what the latest answers on a connection were known by.
+// Number of recent answer identifiers remembered for each connection.
 constexpr size_t kRememberedValues = 64;
-// After an answer that names no request, the own one is waited for so long.
+// After skipping an answer without an identifier, the client waits this long for the matching one.
 constexpr Duration kUnidentifiedAnswerTimeout = std::chrono::milliseconds(250);
 
-// Of an answer that came a second time nobody could tell whether it has a body.
+// For a duplicate answer after a HEAD request it would be unknown whether it has a body.
 bool NeedsOwnConnection(const CallOptions& options) {
   return options.head_request && options.answer_match.by_header();
 }
@@ -52,7 +52,7 @@
   return "unknown";
 }
 
-// A connection to one endpoint. Owned by its call while a request is under way, else by the pool.
+// A connection to one endpoint. Owned by its call during a request, otherwise by the pool.
 class ClientConnection : public event::StreamObserver,
                          public ParserObserver,
                          public std::enable_shared_from_this<ClientConnection> {
@@ -75,8 +75,9 @@
   bool reused() const { return requests_ > 1; }
   const std::optional<std::string>& lane() const { return options_.answer_match.lane(); }
 
-  // Whether this idle connection may carry a request that is matched so. Not when something lies
-  // unread on it, or it has ended: the event loop is about to tell.
+  // Whether this idle connection may carry a request with this match. False when it has unread
+  // bytes or was closed, which the event loop is about to report, and when it recently carried a
+  // request with the same value.
   bool MayCarry(const AnswerMatch& match) const {
     const bool repeated = match.by_value() && std::find(values_.begin(), values_.end(),
                                                         ValueHash(match)) != values_.end();
@@ -103,7 +104,7 @@
   }
 
   // The call that sent request number `request` was destroyed; closes the connection when that
-  // request is still under way.
+  // request is still in progress.
   void CancelRequest(uint64_t request) {
     if (observer_ == nullptr || request != requests_) return;
     observer_ = nullptr;
@@ -177,7 +178,7 @@
       return;
     }
     if (end == event::StreamEnd::kClosed && head_seen_ && !skipping_) {
-      // An answer without a length is whole when the connection closes in order.
+      // An answer without a length is complete when the connection is closed in order.
       if (parser_.Finish() && message_complete_) {
         reusable_ = false;
         Complete();
@@ -193,7 +194,7 @@
       skipping_ = true;
       const std::string* value = head.headers.Find(options_.answer_match.header());
       Report(UnexpectedAnswer::Kind::kSkipped, value == nullptr ? std::string() : *value);
-      // It may be the own one of a server that left the header out.
+      // It may be the matching answer of a server that omits the header.
       if (value == nullptr && options_.answer_match.by_value())
         timer_.Start(kUnidentifiedAnswerTimeout);
       return;
@@ -243,8 +244,8 @@
 
   void Complete() {
     ResponseObserver* observer = std::exchange(observer_, nullptr);
-    // A server may answer before it has read the whole request: the rest must not be followed by
-    // another one.
+    // A server may answer before it has read the whole request. No other request may then follow
+    // the unsent rest.
     if (stream_ == nullptr || stream_->unsent_bytes() > 0) reusable_ = false;
     if (reusable_ && idle_timeout_ > Duration(0)) {
       stream_->StartReading();
@@ -267,7 +268,7 @@
                                found_id});
   }
 
-  // Leaves the pool's idle connections and closes.
+  // Closes the connection and removes it from the pool.
   void Discard() {
     Close();
     pool_->Forget(this);
@@ -286,16 +287,16 @@
   event::Endpoint endpoint_;
   std::unique_ptr<event::TcpStream> stream_;
   Parser parser_;
-  event::Timer timer_;  // Of the connect, of the wait for the own answer, then of idleness.
+  event::Timer timer_;  // For the connect, the wait for a matching answer, and idleness.
   ResponseObserver* observer_ = nullptr;
   CallOptions options_;              // Of the latest request.
-  std::string_view purpose_before_;  // Of the one before it.
-  std::deque<size_t> values_;        // Hashes of what the latest answers were known by.
+  std::string_view purpose_before_;  // Of the request before it.
+  std::deque<size_t> values_;        // Hashes of the values that identify recent answers.
   Duration idle_timeout_{0};
   uint64_t requests_ = 0;
   bool connected_ = false;
   Instant made_at_{};
-  Instant heard_at_{};  // When bytes came last.
+  Instant heard_at_{};  // When bytes were last received.
   bool reusable_ = true;
   bool skipping_ = false;
   bool head_seen_ = false;
@@ -320,7 +321,7 @@
       for (const auto& connection : connections) connection->Close();
     }
   }
-  // While what they note of themselves here still exists.
+  // Connections unregister from `made_` when destroyed, so it must still exist.
   idle_.clear();
 }
 
@@ -346,7 +347,7 @@
   const auto of_lane = of_endpoint->second.find(*match.lane());
   if (of_lane == of_endpoint->second.end()) return nullptr;
   IdleConnections& connections = of_lane->second;
-  // The latest one used: the others grow old and are closed.
+  // Prefer the most recently used one, so that the others reach their idle timeout.
   const auto found =
       std::find_if(connections.rbegin(), connections.rend(),
                    [&](const auto& connection) { return connection->MayCarry(match); });
--- a/source/http/client.h
+++ b/source/http/client.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 client connections on the event loop, kept and reused per endpoint.
+// HTTP/1.1 client on the event loop, with a pool of reusable connections for each endpoint.
 #pragma once
 
 #include <cstdint>
@@ -18,14 +18,14 @@
 
 namespace runshelf::http {
 
-// Why no complete answer came.
+// Why no complete answer was received.
 enum class ClientFailure {
-  // Nothing listens at the address: certainly no byte of the request left.
+  // The connection was refused: certainly no byte of the request was sent.
   kRefused,
-  // No connection could be made, for another reason: certainly no byte of the request left.
+  // No connection could be made, for another reason: certainly no byte of the request was sent.
   kNotSent,
-  kBroken,      // The connection broke before the first byte of the answer.
-  kIncomplete,  // The answer began and broke off, or was no message of the protocol.
+  kBroken,      // The connection broke before the head of the answer was received.
+  kIncomplete,  // The answer was truncated or malformed.
 };
 
 inline bool CertainlyNotSent(ClientFailure failure) {
@@ -44,45 +44,44 @@
 };
 
 struct CallOptions {
-  // `call_purpose`: for logs; a literal.
+  // `call_purpose`: for logs; must be a string literal.
   CallOptions(AnswerMatch match, std::string_view call_purpose)
       : answer_match(std::move(match)), purpose(call_purpose) {}
 
   AnswerMatch answer_match;
   std::string_view purpose;
   Duration connect_timeout = std::chrono::milliseconds(400);
-  // A connection without a request for this long is closed; a shorter Keep-Alive of the server
-  // wins.
+  // An idle connection is closed after this time, or earlier when the server's Keep-Alive header
+  // states a shorter one.
   Duration idle_timeout = std::chrono::seconds(4);
   bool head_request = false;  // The method is HEAD.
-  // Of a SimpleCall: its timeout is for the first byte of the answer, and then between its parts.
-  // So an answer that is large for the links on its way arrives, and one that stands still is given
-  // up.
+  // For a SimpleCall: its timeout limits the time until the answer's head and then between its
+  // parts, so that a large answer can arrive over a slow link, while a stalled one is abandoned.
   bool wait_while_answer_arrives = false;
 };
 
 class ClientConnection;
 
-// Bytes of a server that belong to no request under way on their connection.
+// Bytes from a server that do not belong to the current request on their connection.
 struct UnexpectedAnswer {
   enum class Kind {
-    kSkipped,   // Not the answer to the request under way, by what identifies that.
-    kTrailing,  // Followed a whole answer at once.
-    kIdle,      // Came while no request was under way.
+    kSkipped,   // Does not match the current request; see AnswerMatch.
+    kTrailing,  // Directly followed a complete answer.
+    kIdle,      // Arrived while no request was in progress.
   };
   Kind kind = Kind::kSkipped;
   event::Endpoint endpoint;
   Duration connection_age{0};
   uint64_t requests = 0;            // Sent on the connection so far.
-  std::string_view purpose;         // Of the latest of them.
-  std::string_view purpose_before;  // Of the one before it; empty: there was none.
-  std::string expected_id;          // Of the latest; empty: its answer names none.
-  std::string found_id;             // In the answer; empty: none, or it was not read.
+  std::string_view purpose;         // Of the latest request.
+  std::string_view purpose_before;  // Of the request before it; empty: there was none.
+  std::string expected_id;          // Identifies the latest request's answer; empty: none.
+  std::string found_id;             // In the answer; empty: none, or it was not parsed.
 };
 
 std::string_view NameOf(UnexpectedAnswer::Kind kind);
 
-// One request under way. Destroying it cancels the request by closing its connection.
+// A request in progress. Destroying it cancels the request by closing its connection.
 class ClientCall {
  public:
   explicit ClientCall(std::shared_ptr<ClientConnection> connection);
@@ -90,12 +89,12 @@
   ClientCall(const ClientCall&) = delete;
   ClientCall& operator=(const ClientCall&) = delete;
 
-  // Stops and restarts reading, to bound what is held for a slow reader.
+  // Stop and restart reading, to limit what is buffered for a slow reader.
   void Pause();
   void Resume();
-  // True when the request went out on a connection that had served another one before.
+  // Whether the request was sent on a connection that had carried another request before.
   bool on_reused_connection() const;
-  // When its connection was made; Instant{} while it is not.
+  // When its connection was established; Instant{} before that.
   Instant connection_made_at() const;
 
  private:
@@ -103,8 +102,8 @@
   uint64_t request_number_;  // Among those of the connection.
 };
 
-// Keeps idle connections for each endpoint and lane (see AnswerMatch), and opens new ones when none
-// is left. Must outlive its calls.
+// Keeps idle connections for each endpoint and lane (see AnswerMatch), and opens a new one when no
+// idle one is usable. Must outlive its calls.
 class ConnectionPool {
  public:
   explicit ConnectionPool(event::EventLoop& loop);
@@ -112,23 +111,24 @@
   ConnectionPool(const ConnectionPool&) = delete;
   ConnectionPool& operator=(const ConnectionPool&) = delete;
 
-  // Sends the serialized request; the observer must stay until the call is over or destroyed.
+  // Sends the serialized request. The observer must outlive the call, unless the call completes
+  // before.
   std::unique_ptr<ClientCall> Send(const event::Endpoint& endpoint, std::string_view request,
                                    const CallOptions& options, ResponseObserver* observer);
   // Closes the idle connections to an endpoint.
   void CloseIdle(const event::Endpoint& endpoint);
-  // A connection to the endpoint is open, in use or idle, as far as the operating system knows: the
-  // process at its other end still runs. Costs a system call for each connection until one is
-  // found.
+  // Whether a connection to the endpoint, in use or idle, is open as far as the operating system
+  // knows, so that the process at the other end still runs. Makes a system call for each connection
+  // until an open one is found.
   bool HasOpenConnection(const event::Endpoint& endpoint) const;
-  // The same of a connection that was made at `made_by` or earlier and brought something at
-  // `heard_from` or later: one that fell silent for good looks open for seconds.
+  // The same for a connection that was established at `made_by` or earlier and received data at
+  // `heard_from` or later. The latter excludes a dead connection, which can look open for seconds.
   bool HasLiveConnection(const event::Endpoint& endpoint, Instant made_by,
                          Instant heard_from) const;
-  // When the other end last closed or broke a connection to the endpoint; Instant{}: never.
+  // When a connection to the endpoint was last closed by the peer or broken; Instant{}: never.
   Instant LostAt(const event::Endpoint& endpoint) const;
   uint64_t opened() const { return opened_; }
-  // Called when a peer closes or breaks a connection that no request is on.
+  // Called when an idle connection is closed by the peer or broken.
   void set_on_idle_lost(std::function<void(const event::Endpoint&)> callback) {
     on_idle_lost_ = std::move(callback);
   }
@@ -140,7 +140,7 @@
   friend class ClientConnection;
   using IdleConnections = std::deque<std::shared_ptr<ClientConnection>>;
 
-  // An idle connection that the request may use, which is idle no more; nullptr: there is none.
+  // Removes an idle connection that the request may use from the pool; nullptr: there is none.
   std::shared_ptr<ClientConnection> TakeIdle(const event::Endpoint& endpoint,
                                              const CallOptions& options);
   void OnIdle(const std::shared_ptr<ClientConnection>& connection);
@@ -151,14 +151,15 @@
 
   event::EventLoop& loop_;
   std::map<event::Endpoint, std::map<std::string, IdleConnections>> idle_;  // By lane.
-  std::map<event::Endpoint, std::set<const ClientConnection*>> made_;       // And not closed here.
+  std::map<event::Endpoint, std::set<const ClientConnection*>> made_;       // Open connections.
   std::map<event::Endpoint, Instant> lost_at_;
   uint64_t opened_ = 0;
   std::function<void(const event::Endpoint&)> on_idle_lost_;
   std::function<void(const UnexpectedAnswer&)> on_unexpected_answer_;
 };
 
-// Sends one request and collects its whole answer; calls back exactly once, unless destroyed.
+// Sends one request and collects the complete answer. The callback is invoked exactly once, unless
+// the call is destroyed before.
 class SimpleCall : public ResponseObserver {
  public:
   // The response is absent when the call failed or took longer than `timeout`.
@@ -171,7 +172,7 @@
   void OnResponseBody(std::string_view data) override;
   void OnResponseComplete() override;
   void OnClientFailure(ClientFailure failure) override;
-  // When the connection that brought the answer was made; for the callback.
+  // When the connection of the answer was established; valid in the callback.
   Instant connection_made_at() const { return connection_made_at_; }
 
  private:
--- a/source/http/message.cc
+++ b/source/http/message.cc
@@ -189,7 +189,7 @@
     return self.CountHeadBytes(size) ? 0 : -1;
   }
 
-  // An answer that broke off in its head, with another one after it.
+  // Whether the answer was truncated within its head and is followed by another one.
   bool ContainsSecondResponse() const {
     const auto contains = [](const Header& header) { return ContainsStatusLine(header.value); };
     return ContainsStatusLine(reason) ||
@@ -209,7 +209,7 @@
       return 0;
     }
     if (self.ContainsSecondResponse()) return kStopParsing;
-    // An interim answer is no answer yet, and has no body; its completion is swallowed.
+    // An interim (1xx) response has no body, and its completion is not reported.
     if (parser->status_code / 100 == 1) return kWithoutBody;
     ResponseHead head;
     head.status = static_cast<int>(parser->status_code);
@@ -273,7 +273,7 @@
       http_parser_execute(&parser, &Implementation::Settings(), data.data(), data.size());
   switch (HTTP_PARSER_ERRNO(&parser)) {
     case HPE_OK:
-      // Upgrades are not served: what follows such a head is no message.
+      // Upgrades are not supported: the bytes after such a head are not HTTP.
       if (parser.upgrade != 0) return {ParseStatus::kMalformed, consumed};
       return {ParseStatus::kOk, consumed};
     case HPE_PAUSED:
--- a/source/http/message.h
+++ b/source/http/message.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages and an incremental parser without sockets of its own (http_parser underneath).
+// HTTP/1.1 messages and an incremental parser, based on http_parser, that does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
   std::string value;
 };
 
-// The headers of one message, in order. Names are compared without regard to case.
+// The headers of one message, in order. Names are case-insensitive.
 class Headers {
  public:
   void Add(std::string_view name, std::string_view value);
@@ -30,7 +30,8 @@
   const std::vector<Header>& all() const { return headers_; }
   std::vector<Header>& all() { return headers_; }
 
-  // Removes the headers that pertain to one connection only, those that Connection names included.
+  // Removes hop-by-hop headers, including those listed in Connection, and Content-Length and
+  // Expect.
   void RemoveConnectionHeaders();
 
  private:
@@ -39,7 +40,7 @@
 
 bool EqualsIgnoreCase(std::string_view left, std::string_view right);
 
-// Parses a whole non-negative number; nullopt when `text` has another form.
+// Parses a non-negative integer; nullopt when `text` has another form.
 std::optional<int64_t> ParseNumber(std::string_view text);
 
 struct RequestHead {
@@ -51,7 +52,7 @@
 struct ResponseHead {
   int status = 0;
   Headers headers;
-  // Of the body; absent when it is chunked or ends with the connection.
+  // Length of the body; absent when it is chunked or ends with the connection.
   std::optional<uint64_t> content_length;
 };
 
@@ -68,20 +69,20 @@
 
 std::string_view ReasonPhrase(int status);
 
-// Serializes a request with Content-Length (left out for a GET without a body).
+// Serializes a request with Content-Length, which is omitted for GET and HEAD without a body.
 std::string SerializeRequest(const RequestHead& head, std::string_view body);
 
-// Serializes the head of a response; the caller has set its framing headers.
+// Serializes the head of a response. The caller must have set the framing headers.
 std::string SerializeResponseHead(int status, const Headers& headers);
 
-// Receives the pieces of messages as they are parsed.
+// Receives the parts of messages as they are parsed.
 class ParserObserver {
  public:
   virtual ~ParserObserver() = default;
   virtual void OnRequestHead(RequestHead&&) {}
   virtual void OnResponseHead(ResponseHead&&) {}
   virtual void OnBody(std::string_view data) = 0;
-  // `keep_alive`: by its head, the connection may carry another message.
+  // `keep_alive`: whether the head allows another message on the connection.
   virtual void OnMessageComplete(bool keep_alive) = 0;
 };
 
@@ -90,7 +91,7 @@
 enum class ParseStatus {
   kOk,            // Everything was consumed.
   kPaused,        // Stopped after a complete message; the rest was not consumed.
-  kMalformed,     // The bytes are no message of the protocol.
+  kMalformed,     // The bytes are not a valid message.
   kHeadTooLarge,  // The head exceeds the limit.
 };
 
@@ -102,16 +103,18 @@
 // Parses a sequence of messages and pauses after each complete one.
 class Parser {
  public:
-  // A response of a HEAD request has no body; `observer` must outlive the parser.
+  // `observer` must outlive the parser.
   Parser(ParserKind kind, ParserObserver* observer);
   ~Parser();
   Parser(const Parser&) = delete;
   Parser& operator=(const Parser&) = delete;
 
   void set_max_head_bytes(size_t bytes) { max_head_bytes_ = bytes; }
+  // Whether the next response answers a HEAD request and so has no body.
   void set_response_to_head(bool value) { response_to_head_ = value; }
   ParseResult Feed(std::string_view data);
-  // The connection closed in order: completes a body that ends with it. False: it ended early.
+  // The connection was closed in order: completes a body that is delimited by the close. Returns
+  // false when the message is incomplete.
   bool Finish();
   // True while a message has begun and is not complete.
   bool in_message() const { return in_message_; }
--- a/source/http/server.cc
+++ b/source/http/server.cc
@@ -7,9 +7,9 @@
 namespace runshelf::http {
 namespace {
 
-// How long a connection stays half open after its last answer, so that the client reads it all.
+// How long a connection stays half-closed after its last answer, so that the client can read it.
 constexpr Duration kLingerTime = std::chrono::seconds(1);
-// Bytes of later requests that are kept while one is served; beyond it reading stops.
+// Bytes of pipelined requests that are buffered while one is served; beyond it reading stops.
 constexpr size_t kMaxPipelinedBytes = size_t{64} * 1024;
 constexpr size_t kChunkHeadBytes = 20;
 
--- a/source/http/server.h
+++ b/source/http/server.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 server on the event loop: whole requests in, streamed answers out.
+// HTTP/1.1 server on the event loop. Requests are buffered completely; answers can be streamed.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,8 @@
 
 class ServerConnection;
 
-// Bounds on what a client may send and how long it may take. Shared by all connections of a server;
-// changes apply to later requests.
+// Limits on the size and duration of requests. Shared by all connections of a server; changes apply
+// to later requests.
 struct ServerLimits {
   size_t max_head_bytes = size_t{16} * 1024;
   size_t max_body_bytes = size_t{64} * 1024 * 1024;
@@ -25,8 +25,8 @@
   Duration idle_timeout = std::chrono::seconds(30);     // Between requests.
 };
 
-// One request and its answer. Kept alive by whoever answers it; once the client is gone, every call
-// does nothing.
+// One request and its answer. Owned by the code that answers it; once the client has disconnected,
+// calls that send have no effect.
 class ServerExchange {
  public:
   ServerExchange(std::weak_ptr<ServerConnection> connection, Request request, Instant received);
@@ -35,29 +35,29 @@
   Request& request() { return request_; }
   Instant received() const { return received_; }
   bool answered() const { return started_; }
-  // False once the client has gone or the answer is complete.
+  // False once the client has disconnected or the answer is complete.
   bool open() const;
 
-  // Sends a whole answer with Content-Length.
+  // Sends a complete answer with Content-Length.
   void Respond(int status, const Headers& headers, std::string_view body);
 
-  // Starts a streamed answer; without `content_length` it is sent in chunks.
+  // Starts a streamed answer; without `content_length` it is sent with chunked encoding.
   void Start(int status, const Headers& headers, std::optional<uint64_t> content_length);
   void WriteBody(std::string_view data);
   void Finish();
-  // Breaks the connection, so that the answer cannot be taken for a whole one.
+  // Closes the connection, so that the client recognizes the answer as incomplete.
   void Abort();
 
-  // Answer bytes that wait for the client to read.
+  // Bytes of the answer that are buffered because the client has not read them yet.
   size_t unsent_bytes() const;
-  // The client closed or broke its connection before the answer was complete.
+  // Called when the client disconnects before the answer is complete.
   void set_on_client_gone(std::function<void()> callback) { on_client_gone_ = std::move(callback); }
-  // The client has gone, even if the event of its leaving was not worked off yet. Costs a system
-  // call.
+  // Whether the client has disconnected, even if the event loop has not processed that event yet.
+  // Makes a system call.
   bool client_gone() const;
-  // All bytes of the answer so far were handed to the operating system.
+  // Called when all bytes written so far were handed to the operating system.
   void set_on_drained(std::function<void()> callback) { on_drained_ = std::move(callback); }
-  // The answer carries "Connection: close" and the connection ends after it.
+  // Whether the answer carries "Connection: close" and the connection is closed after it.
   void set_close_after(bool value) { close_after_ = value; }
 
  private:
@@ -76,7 +76,7 @@
 
 using ExchangePtr = std::shared_ptr<ServerExchange>;
 
-// Accepts connections on one address and hands each whole request to the handler.
+// Accepts connections on one address and passes each complete request to the handler.
 class Server {
  public:
   using Handler = std::function<void(const ExchangePtr&)>;
@@ -90,12 +90,12 @@
   uint16_t bound_port() const;
 
   ServerLimits& limits() { return limits_; }
-  // From now on every answer closes its connection.
+  // Makes every connection close after the answer to its next request.
   void StartClosing() { closing_ = true; }
   bool closing() const { return closing_; }
   // Stops accepting connections.
   void StopListening();
-  // Requests that were read and have no complete answer yet.
+  // Number of requests received and not completely answered.
   size_t open_exchanges() const { return open_exchanges_; }
   size_t connections() const { return connections_.size(); }
 
--- a/source/http/server_connection.h
+++ b/source/http/server_connection.h
@@ -9,15 +9,15 @@
 
 namespace runshelf::http {
 
-// Reads one request at a time; bytes that follow wait until its answer is complete. Owned by the
-// server's set and, while a callback runs, by that callback.
+// Reads one request at a time; later (pipelined) bytes are buffered until its answer is complete.
+// Owned by the server and, while a callback runs, by that callback.
 class ServerConnection : public event::StreamObserver,
                          public ParserObserver,
                          public std::enable_shared_from_this<ServerConnection> {
  public:
   ServerConnection(Server* server, std::unique_ptr<event::TcpStream> stream);
   void Start();
-  // Forgets the server, which is being destroyed.
+  // Drops the reference to the server, which is being destroyed.
   void Detach();
 
   void OnData(std::string_view data) override;
@@ -52,7 +52,7 @@
   bool keep_alive_ = true;
   bool body_too_large_ = false;
   bool consuming_ = false;
-  bool lingering_ = false;  // Answered for the last time; reads on until the client closes.
+  bool lingering_ = false;  // After the last answer: discards input until the client closes.
 };
 
 }  // namespace runshelf::http
--- a/tests/http/client_test.cc
+++ b/tests/http/client_test.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Collects one answer.
+// Records the events of one answer.
 class Collector : public ResponseObserver {
  public:
   void OnResponseHead(ResponseHead&& received) override { head = std::move(received); }
@@ -96,7 +96,7 @@
   STRCMP_EQUAL("abc", collector.body.c_str());
 }
 
-// libuv reports an orderly end when a reset follows a short read.
+// libuv reports an orderly close when a reset follows a short read.
 TEST(Client, AnAnswerWithoutALengthThatIsResetIsIncomplete) {
   RawServer server([](int connection) {
     RawServer::ReadHead(connection);
@@ -136,7 +136,7 @@
   CHECK(collector.failure == ClientFailure::kIncomplete);
 }
 
-TEST(Client, AConnectionThatClosesBeforeTheAnswerLeavesADoubt) {
+TEST(Client, AConnectionClosedBeforeTheAnswerMayHaveSentTheRequest) {
   RawServer server([](int connection) { RawServer::ReadHead(connection); });
   Collector collector;
   Expect(server.endpoint(), InOrder(), &collector);
@@ -169,15 +169,15 @@
   Expect(server.endpoint(), WithId("2"), &second);
   CHECK(second.complete);
   STRCMP_EQUAL("second", second.body.c_str());
-  // Nobody knows what else this server will say: the connection is not used again.
+  // Further unexpected answers may follow, so the connection is not reused.
   CHECK_EQUAL(1, server.connections());
   Collector third;
   const auto call = pool.Send(server.endpoint(), kRequest, WithId("3"), &third);
   CHECK(RunUntil(loop, [&] { return server.connections() == 2; }));
 }
 
-// Guards against an answer of nobody, such as the second one to a health check, that a request
-// gets.
+// Guards against a request that receives an answer without an identifier, such as a duplicate
+// answer to a health check.
 TEST(Client, AnAnswerWithoutTheHeaderIsSkippedOnceOthersWentBefore) {
   RawServer server([](int connection) {
     RawServer::ReadHead(connection);
@@ -206,8 +206,8 @@
   CHECK_EQUAL(503, collector.head.status);
 }
 
-// Guards against a refusal that comes twice and is taken for the answer to the same request, sent
-// again, which runs.
+// Guards against a duplicate refusal that is taken for the answer to the retry of that request,
+// while the retry is executed.
 TEST(Client, ARequestThatIsSentAgainTakesAnotherConnection) {
   std::atomic<int> requests{0};
   RawServer server([&](int connection) {
@@ -243,7 +243,7 @@
   const auto in_lane = [](const char* lane) {
     return CallOptions(AnswerMatch::Lane(lane), "test");
   };
-  // The server takes one connection after the other.
+  // The server handles one connection at a time.
   for (const char* lane : {"a", "b", "b"}) {
     Collector collector;
     Expect(server.endpoint(), in_lane(lane), &collector);
@@ -252,7 +252,7 @@
   CHECK_EQUAL(2, server.connections());
 }
 
-// Guards against a second answer of which nobody could tell whether it has a body.
+// Guards against a duplicate answer for which it is unknown whether it has a body.
 TEST(Client, ARequestWithTheMethodHeadHasItsOwnConnection) {
   RawServer server([](int connection) {
     RawServer::ReadHead(connection);
@@ -269,7 +269,7 @@
   }
 }
 
-// Guards against a request that waits behind an answer without the header until its deadline.
+// Guards against a request that waits until its deadline after an answer without the header.
 TEST(Client, AnAnswerWithoutTheHeaderIsNotWaitedOut) {
   RawServer server([](int connection) {
     RawServer::ReadHead(connection);
@@ -287,7 +287,7 @@
   CHECK(loop.Now() - begun < std::chrono::milliseconds(500));
 }
 
-// Guards against an answer to an earlier request of the lane that is taken for one that is marked.
+// Guards against accepting the answer to an earlier request of the lane as the marked answer.
 TEST(Client, OnlyAMarkedAnswerIsTakenOnAConnectionThatIsShared) {
   RawServer server([](int connection) {
     RawServer::ReadHead(connection);
@@ -321,8 +321,8 @@
   CHECK_EQUAL(3, server.connections());
 }
 
-// Guards against an answer that lay unread while the process stood still, and is taken for that to
-// the next request.
+// Guards against an answer that arrived while the process was suspended and is taken for the answer
+// to the next request.
 TEST(Client, AConnectionWithUnreadBytesCarriesNoRequest) {
   std::atomic<bool> sent{false};
   RawServer server([&](int connection) {
@@ -336,7 +336,7 @@
   Collector first;
   Expect(server.endpoint(), InOrder(), &first);
   CHECK(first.complete);
-  // Without a turn of the loop.
+  // The event loop does not run in between.
   while (!sent) std::this_thread::sleep_for(std::chrono::milliseconds(1));
   Collector second;
   Expect(server.endpoint(), InOrder(), &second);
@@ -344,7 +344,7 @@
   CHECK_EQUAL(2, server.connections());
 }
 
-// An operator must be able to tell what came in place of an answer, and on which connection.
+// Operators need to see what was received instead of an answer, and on which connection.
 TEST(Client, UnexpectedAnswersAreReported) {
   RawServer server([](int connection) {
     RawServer::ReadHead(connection);
@@ -455,8 +455,8 @@
   CHECK_FALSE(answered);
 }
 
-// Guards against an answer that is too large for the links on its way and is asked for from the
-// start each time, in vain.
+// Guards against an answer that takes longer than the timeout on a slow link and is requested from
+// the start again and again.
 TEST(Client, ACallThatWaitsWhileItsAnswerArrivesGetsASlowOne) {
   for (const bool waits : {false, true}) {
     RawServer server([](int connection) {
@@ -483,8 +483,8 @@
   }
 }
 
-// Guards against a call that never ends, since a byte of its answer comes now and then.
-TEST(Client, ACallThatWaitsWhileItsAnswerArrivesEndsAllTheSame) {
+// Guards against a call that never ends because its answer keeps trickling in.
+TEST(Client, ACallThatWaitsWhileItsAnswerArrivesHasAMaximumDuration) {
   std::atomic<bool> ended = false;
   RawServer server([&](int connection) {
     RawServer::ReadHead(connection);
@@ -509,12 +509,12 @@
   ended = true;
 }
 
-// As by a server at its limit of connections: it is there.
+// A server at its connection limit resets connections, but it is running.
 TEST(Client, AConnectionThatIsResetIsNotARefusedOne) {
   RawServer server([](int connection) { RawServer::Reset(connection); });
   Collector collector;
   const auto call = pool.Send(server.endpoint(), kRequest, InOrder(), &collector);
-  // The server resets it before the loop looks at it.
+  // The server resets the connection before the event loop runs.
   while (server.connections() == 0) std::this_thread::sleep_for(std::chrono::milliseconds(1));
   std::this_thread::sleep_for(std::chrono::milliseconds(20));
   CHECK(RunUntil(loop, [&] { return collector.over(); }));
@@ -540,7 +540,7 @@
   event::RunFor(loop, std::chrono::milliseconds(5));
   CHECK_FALSE(pool.HasLiveConnection(server.endpoint(), loop.Now(), loop.Now()));
   close_it = true;
-  // The loop has had no turn since.
+  // The event loop has not run since.
   std::this_thread::sleep_for(std::chrono::milliseconds(50));
   CHECK_FALSE(pool.HasOpenConnection(server.endpoint()));
   CHECK(pool.LostAt(server.endpoint()) == Instant{});
@@ -548,7 +548,7 @@
   CHECK(RunUntil(loop, [&] { return pool.LostAt(server.endpoint()) >= closed_by; }));
 }
 
-TEST(Client, AConnectionThatIsClosedHereIsOpenNoMore) {
+TEST(Client, AConnectionClosedLocallyIsNotOpen) {
   RawServer server([](int connection) {
     while (!RawServer::ReadHead(connection).empty()) {
       RawServer::Send(connection, Answer("1", "abc"));
--- a/tests/http/message_test.cc
+++ b/tests/http/message_test.cc
@@ -71,7 +71,7 @@
 
 namespace {
 
-// Notes what a parser of answers finds.
+// Records what a response parser reports.
 struct AnswerNotes : ParserObserver {
   void OnResponseHead(ResponseHead&& head) override { statuses.push_back(head.status); }
   void OnBody(std::string_view data) override { body.append(data); }
@@ -83,7 +83,7 @@
 
 }  // namespace
 
-// Guards against an interim answer whose body is taken for the beginning of the answer's.
+// Guards against taking bytes after an interim (1xx) response for part of the final answer's body.
 TEST(Message, AnInterimAnswerHasNoBody) {
   for (const char* framing : {"Content-Length: 3\r\n\r\nabc",
                               "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"}) {
@@ -97,8 +97,8 @@
   }
 }
 
-// Guards against an answer that breaks off in its head, with the next one taken for the rest of it.
-TEST(Message, AnAnswerThatGoesOnAsAnotherIsMalformed) {
+// Guards against an answer that is truncated in its head, with the next answer parsed as the rest.
+TEST(Message, AnAnswerTruncatedInItsHeadAndFollowedByAnotherIsMalformed) {
   const std::string next = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
   for (const std::string cut : {"HTTP/1.1 200 O", "HTTP/1.1 200 OK\r\nName: val",
                                 "HTTP/1.1 200 OK\r\nName: ", "HTTP/1.1 200 OK\r\nNa",
--- a/tests/http/raw_server.h
+++ b/tests/http/raw_server.h
@@ -1,4 +1,4 @@
-// A TCP server for tests that says exactly what it is told, on a thread of its own.
+// A scripted TCP server for tests, which runs on its own thread.
 #pragma once
 
 #include <netinet/in.h>
@@ -14,7 +14,7 @@
 
 namespace runshelf::http {
 
-// Handles one connection after the other with `script`, which gets the connected socket.
+// Accepts one connection at a time and calls `script` with its socket.
 class RawServer {
  public:
   explicit RawServer(std::function<void(int connection)> script) : script_(std::move(script)) {
@@ -39,7 +39,7 @@
   const event::Endpoint& endpoint() const { return endpoint_; }
   int connections() const { return connections_.load(); }
 
-  // Reads up to the end of a head without a body.
+  // Reads up to the end of a message head.
   static std::string ReadHead(int connection) {
     std::string text;
     char byte = 0;
@@ -53,7 +53,7 @@
     send(connection, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
 
-  // Closes with a reset instead of an orderly end.
+  // Makes the socket send a reset when it is closed.
   static void Reset(int connection) {
     const linger abort{1, 0};
     setsockopt(connection, SOL_SOCKET, SO_LINGER, &abort, sizeof abort);
--- a/tests/http/second_answer_matrix_test.cc
+++ b/tests/http/second_answer_matrix_test.cc
@@ -1,5 +1,6 @@
-// Second answers in every form and order, and which answers a caller may get by a model: its own,
-// or a failure; never another's, never a success made of two.
+// Combines duplicate answers of every form, position and identifier, and checks what callers get: a
+// caller gets its own complete answer or a failure, never another request's answer and never a mix
+// of two.
 #include <CppUTest/TestHarness.h>
 #include <netinet/tcp.h>
 #include <sys/time.h>
@@ -25,17 +26,17 @@
 
 constexpr milliseconds kBetweenPieces{1};
 constexpr milliseconds kLate{2000};
-// A server that has not been asked for so long gives the connection up, which ends a test that
-// would hang.
+// The server closes a connection on which no request arrives for this long, so that a failing test
+// does not hang.
 constexpr timeval kReadTimeout{3, 0};
 
 constexpr int kRequests = 4;
 
-// Where on the connection the second answer to the first request comes.
+// When the second answer to the first request is sent.
 enum class Place {
-  kWithItsFirst,   // In the same packet as the first one.
-  kAfterItsFirst,  // Whether another request is under way or not.
-  kBeforeNext,     // When the next request is under way, before its answer.
+  kWithItsFirst,   // In one write with the end of the first one.
+  kAfterItsFirst,  // After the first one, whether or not another request is in progress.
+  kBeforeNext,     // During the next request, before its answer.
   kAfterNext,      // After the answer to the next request.
 };
 
@@ -44,14 +45,14 @@
   kPiecesOfHead,
   kPiecesOfBody,
   kAfterInterim,
-  kInterimWithBody,  // Nothing but an interim answer, with the body that none may have.
-  kInterimChunked,   // Likewise.
+  kInterimWithBody,  // Only an interim answer, with a body, which is not allowed.
+  kInterimChunked,   // The same with a chunked body.
   kChunked,
   kNoContent,
   kBeforeGarbage,
-  kGarbage,         // Nothing but bytes that are no answer.
-  kWithoutLength,   // Ends with the connection.
-  kCutInItsReason,  // Goes on as the next answer, as the others do.
+  kGarbage,         // Only bytes that are not an answer.
+  kWithoutLength,   // Delimited by the end of the connection.
+  kCutInItsReason,  // Truncated and followed by the next answer; so are the next two.
   kCutInItsHead,
   kCutInItsBody,
 };
@@ -87,7 +88,7 @@
          std::to_string(tested.delay.count());
 }
 
-// What is sent in one go; there is a pause between two of them.
+// Each piece is sent at once, with a pause between pieces.
 using Pieces = std::vector<std::string>;
 
 std::string Head(const std::string& id_header, const std::string& framing) {
@@ -188,7 +189,7 @@
   return head.substr(begin, head.find("\r\n", begin) - begin);
 }
 
-// Whether nobody can tell where the next answer begins: the server ends the connection then.
+// Whether a client cannot find the start of the next answer; the server then ends the connection.
 bool EndsConnection(Form form) {
   switch (form) {
     case Form::kWithoutLength:
@@ -201,7 +202,7 @@
   }
 }
 
-// Serves one connection; the second answer comes on that of the first request.
+// Answers the first request twice, the second time on the same connection.
 class TwiceAnsweringServer {
  public:
   explicit TwiceAnsweringServer(const Case& tested)
@@ -231,7 +232,7 @@
     }
   }
 
-  // Returns whether the second answer was said.
+  // Returns whether the second answer was sent.
   bool AnswerFirst(int connection, Pieces own) {
     if (tested_.place == Place::kWithItsFirst) {
       const Pieces again = SecondAnswer(tested_);
@@ -270,13 +271,13 @@
   void OnClientFailure(ClientFailure) override { ++failed; }
 
   bool over() const { return complete + failed > 0; }
-  // By the model: its own answer, whole, and nothing else.
+  // Whether the caller received exactly its own complete answer.
   bool HasOwnAnswer(const std::string& id) const {
     const std::string* found = head.headers.Find("Request-Id");
     return complete == 1 && failed == 0 && heads == 1 && head.status == 200 && found != nullptr &&
            *found == id && !head.headers.Has("Cut") && body == OwnBody(id);
   }
-  // What came before a failure, if anything, is its own answer too.
+  // Whether the call failed, after receiving at most a part of its own answer.
   bool HasFailed(const std::string& id) const {
     const std::string* found = head.headers.Find("Request-Id");
     return complete == 0 && failed == 1 &&
@@ -306,8 +307,8 @@
   int cases = 0;
   std::vector<std::string> violations;
 
-  // The first request comes before any second answer, and the last one after all of them: both get
-  // their own answers.
+  // The first request precedes every second answer, and the last request follows all of them, so
+  // these two must succeed.
   void Play(const Case& tested, const MatchOfId& match) {
     ++cases;
     ConnectionPool pool(loop);
@@ -342,19 +343,19 @@
   }
 };
 
-// Guards against the answer of another request, or of nobody, that a caller gets.
+// Guards against a caller that gets the answer to another request, or to none.
 TEST(SecondAnswerMatrix, ByIdAtOnce) {
   PlayAll(milliseconds(0), &ById);
   CheckNoViolations();
 }
 
-// Guards against the same while the next request is about to be sent.
+// The same, with the second answer arriving while the next request is about to be sent.
 TEST(SecondAnswerMatrix, ByIdALittleLater) {
   PlayAll(milliseconds(1), &ById);
   CheckNoViolations();
 }
 
-// Guards against the same in place of an answer that takes its time.
+// The same, with the second answer arriving while the caller waits for a slow answer.
 TEST(SecondAnswerMatrix, ByIdLate) {
   for (const Id id : kIds) {
     Play({Place::kBeforeNext, Form::kWhole, id, OwnForm::kWhole, kLate}, &ById);
@@ -362,7 +363,7 @@
   CheckNoViolations();
 }
 
-// Guards against a connection that should carry nothing else, and does.
+// Guards against reusing a connection that must carry a single request.
 TEST(SecondAnswerMatrix, OnConnectionsOfTheirOwn) {
   PlayAll(milliseconds(0), [](const std::string&) { return AnswerMatch::OwnConnection(); });
   CheckNoViolations();
--- a/tests/http/server_test.cc
+++ b/tests/http/server_test.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-// A blocking client on the test's side of the connection.
+// A client on a plain socket.
 class RawClient {
  public:
   explicit RawClient(uint16_t port) {
@@ -29,7 +29,7 @@
 
   void Send(const std::string& bytes) { RawServer::Send(socket_, bytes); }
 
-  // What has arrived so far; `*ended` is set once the server closed.
+  // Returns the bytes received so far; sets `*ended` once the server has closed the connection.
   std::string Receive(bool* ended) {
     char buffer[4096];
     const ssize_t count = recv(socket_, buffer, sizeof buffer, MSG_DONTWAIT);
@@ -67,7 +67,7 @@
   }
 };
 
-TEST(Server, AWholeRequestIsHandedOverAndAnswered) {
+TEST(Server, ACompleteRequestIsDispatchedAndAnswered) {
   RawClient client(server.bound_port());
   client.Send("POST /a?b=1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nab");
   event::RunFor(loop, std::chrono::milliseconds(20));
@@ -127,7 +127,7 @@
   CHECK(text.find("0\r\n\r\n") == std::string::npos);
 }
 
-TEST(Server, AClientThatLeavesIsNoticed) {
+TEST(Server, AClientThatDisconnectsIsReported) {
   bool gone = false;
   RawClient client(server.bound_port());
   client.Send("GET / HTTP/1.1\r\n\r\n");
@@ -141,7 +141,7 @@
   CHECK_EQUAL(0, server.connections());
 }
 
-TEST(Server, AClientThatLeftIsSeenBeforeTheEventIsWorkedOff) {
+TEST(Server, ADisconnectedClientIsSeenBeforeTheLoopProcessesTheEvent) {
   RawClient client(server.bound_port());
   client.Send("GET / HTTP/1.1\r\n\r\n");
   CHECK(RunUntil(loop, [&] { return exchanges.size() == 1; }));
@@ -150,10 +150,10 @@
   const Instant limit = loop.Now() + std::chrono::seconds(2);
   while (!exchanges[0]->client_gone() && loop.Now() < limit) std::this_thread::yield();
   CHECK(exchanges[0]->client_gone());
-  CHECK(exchanges[0]->open());  // The loop has not turned.
+  CHECK(exchanges[0]->open());  // The event loop has not run.
 }
 
-TEST(Server, WhatBreaksALimitIsRefused) {
+TEST(Server, RequestsThatExceedALimitOrAreMalformedAreRefused) {
   server.limits().max_head_bytes = 200;
   server.limits().max_body_bytes = 4;
   server.limits().request_timeout = std::chrono::milliseconds(50);
@@ -175,7 +175,7 @@
   CHECK(exchanges.empty());
 }
 
-TEST(Server, AClosingServerSaysSoInItsLastAnswers) {
+TEST(Server, AClosingServerAnswersWithConnectionClose) {
   RawClient client(server.bound_port());
   client.Send("GET / HTTP/1.1\r\n\r\n");
   CHECK(RunUntil(loop, [&] { return exchanges.size() == 1; }));
