--- a/tests/http/message_test.cc
+++ b/tests/http/message_test.cc
@@ -72,7 +72,7 @@
 namespace {
 
 // Records what a response parser reports.
-struct AnswerNotes : ParserObserver {
+struct AnswerRecorder : ParserObserver {
   void OnResponseHead(ResponseHead&& head) override { statuses.push_back(head.status); }
   void OnBody(std::string_view data) override { body.append(data); }
   void OnMessageComplete(bool) override { ++complete; }
@@ -87,13 +87,13 @@
 TEST(Message, AnInterimAnswerHasNoBody) {
   for (const char* framing : {"Content-Length: 3\r\n\r\nabc",
                               "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"}) {
-    AnswerNotes notes;
-    Parser parser(ParserKind::kResponse, &notes);
+    AnswerRecorder recorder;
+    Parser parser(ParserKind::kResponse, &recorder);
     const std::string text = std::string("HTTP/1.1 103 Early Hints\r\n") + framing +
                              "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
     CHECK_TEXT(parser.Feed(text).status == ParseStatus::kMalformed, framing);
-    STRCMP_EQUAL("", notes.body.c_str());
-    CHECK_EQUAL(0, notes.complete);
+    STRCMP_EQUAL("", recorder.body.c_str());
+    CHECK_EQUAL(0, recorder.complete);
   }
 }
 
@@ -103,16 +103,16 @@
   for (const std::string cut : {"HTTP/1.1 200 O", "HTTP/1.1 200 OK\r\nName: val",
                                 "HTTP/1.1 200 OK\r\nName: ", "HTTP/1.1 200 OK\r\nNa",
                                 "HTTP/1.1 200 OK\r\n", "HTTP/1.1 200"}) {
-    AnswerNotes notes;
-    Parser parser(ParserKind::kResponse, &notes);
+    AnswerRecorder recorder;
+    Parser parser(ParserKind::kResponse, &recorder);
     CHECK_TEXT(parser.Feed(cut + next).status == ParseStatus::kMalformed, cut.c_str());
-    CHECK_EQUAL(0, notes.statuses.size());
+    CHECK_EQUAL(0, recorder.statuses.size());
   }
 }
 
 TEST(Message, AHeaderMayNameAVersionOfTheProtocol) {
-  AnswerNotes notes;
-  Parser parser(ParserKind::kResponse, &notes);
+  AnswerRecorder recorder;
+  Parser parser(ParserKind::kResponse, &recorder);
   parser.Feed("HTTP/1.1 200 HTTP/1.1\r\nVia: HTTP/1.1 relay\r\nContent-Length: 0\r\n\r\n");
-  CHECK_EQUAL(1, notes.complete);
+  CHECK_EQUAL(1, recorder.complete);
 }
--- a/tests/http/second_answer_matrix_test.cc
+++ b/tests/http/second_answer_matrix_test.cc
@@ -57,7 +57,7 @@
   kCutInItsBody,
 };
 
-enum class Id { kOfItsRequest, kOfNobody, kNone };
+enum class Id { kOfItsRequest, kOfNoRequest, kNone };
 
 enum class OwnForm { kWhole, kPieces, kChunked };
 
@@ -77,7 +77,7 @@
     Form::kBeforeGarbage,   Form::kGarbage,        Form::kWithoutLength, Form::kCutInItsReason,
     Form::kCutInItsHead,    Form::kCutInItsBody,
 };
-constexpr Id kIds[] = {Id::kOfItsRequest, Id::kOfNobody, Id::kNone};
+constexpr Id kIds[] = {Id::kOfItsRequest, Id::kOfNoRequest, Id::kNone};
 constexpr OwnForm kOwnForms[] = {OwnForm::kWhole, OwnForm::kPieces, OwnForm::kChunked};
 
 std::string Describe(const Case& tested) {
@@ -128,7 +128,7 @@
   switch (id) {
     case Id::kOfItsRequest:
       return "Request-Id: 1\r\n";
-    case Id::kOfNobody:
+    case Id::kOfNoRequest:
       return "Request-Id: nobody\r\n";
     case Id::kNone:
       return "";
@@ -203,9 +203,9 @@
 }
 
 // Answers the first request twice, the second time on the same connection.
-class TwiceAnsweringServer {
+class DuplicateAnswerServer {
  public:
-  explicit TwiceAnsweringServer(const Case& tested)
+  explicit DuplicateAnswerServer(const Case& tested)
       : tested_(tested), server_([this](int connection) { Serve(connection); }) {}
 
   const event::Endpoint& endpoint() const { return server_.endpoint(); }
@@ -215,20 +215,20 @@
     setsockopt(connection, SOL_SOCKET, SO_RCVTIMEO, &kReadTimeout, sizeof kReadTimeout);
     const int at_once = 1;
     setsockopt(connection, IPPROTO_TCP, TCP_NODELAY, &at_once, sizeof at_once);
-    bool said_again = false;
+    bool second_sent = false;
     while (true) {
       const std::string id = IdOfRequest(RawServer::ReadHead(connection));
       if (id.empty()) return;
       const Pieces own = OwnAnswer(id, tested_.own_form);
       if (id == "1") {
-        said_again = AnswerFirst(connection, own);
-      } else if (id == "2" && !said_again) {
+        second_sent = AnswerFirst(connection, own);
+      } else if (id == "2" && !second_sent) {
         AnswerSecond(connection, own);
-        said_again = true;
+        second_sent = true;
       } else {
         SendPieces(connection, own);
       }
-      if (said_again && id != "1" && EndsConnection(tested_.form)) return;
+      if (second_sent && id != "1" && EndsConnection(tested_.form)) return;
     }
   }
 
@@ -240,18 +240,18 @@
       own.insert(own.end(), again.begin() + 1, again.end());
     }
     SendPieces(connection, own);
-    if (tested_.place == Place::kAfterItsFirst) SayAgain(connection);
+    if (tested_.place == Place::kAfterItsFirst) SendSecondAnswer(connection);
     return tested_.place == Place::kWithItsFirst || tested_.place == Place::kAfterItsFirst;
   }
 
   void AnswerSecond(int connection, const Pieces& own) {
     const bool on_first = server_.connections() == 1;
-    if (on_first && tested_.place == Place::kBeforeNext) SayAgain(connection);
+    if (on_first && tested_.place == Place::kBeforeNext) SendSecondAnswer(connection);
     SendPieces(connection, own);
-    if (on_first && tested_.place == Place::kAfterNext) SayAgain(connection);
+    if (on_first && tested_.place == Place::kAfterNext) SendSecondAnswer(connection);
   }
 
-  void SayAgain(int connection) {
+  void SendSecondAnswer(int connection) {
     std::this_thread::sleep_for(tested_.delay);
     SendPieces(connection, SecondAnswer(tested_));
   }
@@ -309,10 +309,10 @@
 
   // The first request precedes every second answer, and the last request follows all of them, so
   // these two must succeed.
-  void Play(const Case& tested, const MatchOfId& match) {
+  void RunCase(const Case& tested, const MatchOfId& match) {
     ++cases;
     ConnectionPool pool(loop);
-    const TwiceAnsweringServer server(tested);
+    const DuplicateAnswerServer server(tested);
     for (int number = 1; number <= kRequests; ++number) {
       const std::string id = std::to_string(number);
       Caller caller;
@@ -326,11 +326,12 @@
     pool.CloseIdle(server.endpoint());
   }
 
-  void PlayAll(milliseconds delay, const MatchOfId& match) {
+  void RunAllCases(milliseconds delay, const MatchOfId& match) {
     for (const Place place : kPlaces) {
       for (const Form form : kForms) {
         for (const Id id : kIds) {
-          for (const OwnForm own_form : kOwnForms) Play({place, form, id, own_form, delay}, match);
+          for (const OwnForm own_form : kOwnForms)
+            RunCase({place, form, id, own_form, delay}, match);
         }
       }
     }
@@ -345,26 +346,26 @@
 
 // Guards against a caller that gets the answer to another request, or to none.
 TEST(SecondAnswerMatrix, ByIdAtOnce) {
-  PlayAll(milliseconds(0), &ById);
+  RunAllCases(milliseconds(0), &ById);
   CheckNoViolations();
 }
 
 // The same, with the second answer arriving while the next request is about to be sent.
 TEST(SecondAnswerMatrix, ByIdALittleLater) {
-  PlayAll(milliseconds(1), &ById);
+  RunAllCases(milliseconds(1), &ById);
   CheckNoViolations();
 }
 
 // The same, with the second answer arriving while the caller waits for a slow answer.
 TEST(SecondAnswerMatrix, ByIdLate) {
   for (const Id id : kIds) {
-    Play({Place::kBeforeNext, Form::kWhole, id, OwnForm::kWhole, kLate}, &ById);
+    RunCase({Place::kBeforeNext, Form::kWhole, id, OwnForm::kWhole, kLate}, &ById);
   }
   CheckNoViolations();
 }
 
 // Guards against reusing a connection that must carry a single request.
 TEST(SecondAnswerMatrix, OnConnectionsOfTheirOwn) {
-  PlayAll(milliseconds(0), [](const std::string&) { return AnswerMatch::OwnConnection(); });
+  RunAllCases(milliseconds(0), [](const std::string&) { return AnswerMatch::OwnConnection(); });
   CheckNoViolations();
 }
