--- a/source/sidecar/feed_messages.cc
+++ b/source/sidecar/feed_messages.cc
@@ -15,8 +15,8 @@
   return json::binary(std::vector<uint8_t>(text.begin(), text.end()));
 }
 
-bool ReadEvent(const json& row, ForwardedEvent* passed_on) {
-  store::WatchEvent* event = &passed_on->event;
+bool ReadEvent(const json& row, ForwardedEvent* forwarded) {
+  store::WatchEvent* event = &forwarded->event;
   if (!row.is_array() || row.size() != 6) return false;
   if (!row[0].is_string() || !row[1].is_number_integer() || !row[2].is_number_integer() ||
       !row[3].is_boolean() || !row[4].is_binary() || !row[5].is_number_integer()) {
@@ -28,7 +28,7 @@
   event->removed = row[3].get<bool>();
   const auto& bytes = row[4].get_binary();
   event->item.value.assign(bytes.begin(), bytes.end());
-  passed_on->base_revision = row[5].get<store::Revision>();
+  forwarded->base_revision = row[5].get<store::Revision>();
   return true;
 }
 
@@ -61,16 +61,16 @@
   result.complete = changes.complete;
   result.from = changes.from;
   result.to = changes.to;
-  for (const ForwardedEvent& passed_on : changes.events) {
-    store::WatchEvent event = passed_on.event;
-    if (passed_on.base_revision != 0) {
+  for (const ForwardedEvent& forwarded : changes.events) {
+    store::WatchEvent event = forwarded.event;
+    if (forwarded.base_revision != 0) {
       const auto base = items.find(event.item.key);
       // The receiver has this or a newer revision; the watcher ignores the event.
       const bool known = base != items.end() && base->second.revision >= event.item.revision;
       if (known) {
         event.item = base->second;
       } else {
-        if (base == items.end() || base->second.revision != passed_on.base_revision) {
+        if (base == items.end() || base->second.revision != forwarded.base_revision) {
           return std::nullopt;
         }
         auto value = ApplyTextPatch(base->second.value, event.item.value);
@@ -104,10 +104,10 @@
 
 std::string SerializeChanges(const std::string& prefix, const ForwardedChanges& changes) {
   json events = json::array();
-  for (const ForwardedEvent& passed_on : changes.events) {
-    const store::WatchEvent& event = passed_on.event;
+  for (const ForwardedEvent& forwarded : changes.events) {
+    const store::WatchEvent& event = forwarded.event;
     events.push_back({event.item.key, event.item.revision, event.item.lease, event.removed,
-                      ToBinary(event.item.value), passed_on.base_revision});
+                      ToBinary(event.item.value), forwarded.base_revision});
   }
   const json body{{"prefix", prefix},
                   {"complete", changes.complete},
--- a/source/sidecar/feed_tree.cc
+++ b/source/sidecar/feed_tree.cc
@@ -36,23 +36,23 @@
 }
 
 std::vector<std::string> FeedTree::LeaderCandidates() const {
-  std::vector<std::pair<CandidateRank, std::string>> places;
+  std::vector<std::pair<CandidateRank, std::string>> ranks;
   for (const auto& [node, peer] : peers_.peers()) {
-    if (MayRead(peer)) places.emplace_back(RankOf(peer.record), node);
+    if (MayRead(peer)) ranks.emplace_back(RankOf(peer.record), node);
   }
-  std::sort(places.begin(), places.end(),
+  std::sort(ranks.begin(), ranks.end(),
             [](const auto& left, const auto& right) { return left.first < right.first; });
-  std::vector<std::string> line;
-  line.reserve(places.size());
-  for (auto& [place, node] : places) line.push_back(std::move(node));
-  return line;
+  std::vector<std::string> candidates;
+  candidates.reserve(ranks.size());
+  for (auto& [candidate_rank, node] : ranks) candidates.push_back(std::move(node));
+  return candidates;
 }
 
 size_t FeedTree::NodesBefore(const NodeRecord& record) const {
-  const CandidateRank place = RankOf(record);
+  const CandidateRank candidate_rank = RankOf(record);
   return static_cast<size_t>(
       std::count_if(peers_.peers().begin(), peers_.peers().end(), [&](const auto& entry) {
-        return MayRead(entry.second) && RankOf(entry.second.record) < place;
+        return MayRead(entry.second) && RankOf(entry.second.record) < candidate_rank;
       }));
 }
 
--- a/source/sidecar/state_feed.cc
+++ b/source/sidecar/state_feed.cc
@@ -70,8 +70,8 @@
   const Peer* own = peers_.Find(config_.node);
   is_standby_ = own != nullptr && own->listed && !stopping_ && Rank() < kWatchingNodes;
   const bool leading = ShouldLead();
-  const bool alone = loop_.Now() - last_beacon_at_ > config_.follower_timeout;
-  SetRole(leading, leading || is_standby_ || alone);
+  const bool leaderless = loop_.Now() - last_beacon_at_ > config_.follower_timeout;
+  SetRole(leading, leading || is_standby_ || leaderless);
   for (store::PrefixWatcher* watcher : watchers_) {
     watcher->set_pace(leading       ? config_.leader_pace
                       : is_standby_ ? config_.standby_pace
@@ -193,10 +193,11 @@
 std::optional<StateFeed::CopySource> StateFeed::SnapshotSource() const {
   const Peer* leader = peers_.Find(last_leader_);
   if (leader == nullptr) return std::nullopt;
-  const std::vector<std::string> line = tree_.LeaderCandidates();
+  const std::vector<std::string> candidates = tree_.LeaderCandidates();
   const std::set<std::string> watching(
-      line.begin(), line.begin() + std::min<std::ptrdiff_t>(kWatchingNodes, std::ssize(line)));
-  for (const std::string& node : line) {
+      candidates.begin(),
+      candidates.begin() + std::min<std::ptrdiff_t>(kWatchingNodes, std::ssize(candidates)));
+  for (const std::string& node : candidates) {
     const Peer* peer = peers_.Find(node);
     if (peer->record.zone != config_.zone || tree_.RecentlyFailed(loop_.Now(), node)) continue;
     if (node == config_.node) break;
@@ -267,23 +268,23 @@
 void StateFeed::OnChanges(const store::PrefixWatcher& watcher, const store::ChangeSet& changes) {
   changed_at_[watcher.prefix()] = loop_.Now();
   UpdateFreshness(watcher);
-  const ForwardedChanges passed_on = PatchLargeItems(changes);
-  if (leading_) PushToAll(SerializeChanges(watcher.prefix(), passed_on));
+  const ForwardedChanges forwarded = PatchLargeItems(changes);
+  if (leading_) PushToAll(SerializeChanges(watcher.prefix(), forwarded));
 }
 
 // Keeps the large items as bases, so that their next changes are sent as patches.
 ForwardedChanges StateFeed::PatchLargeItems(const store::ChangeSet& changes) {
   ForwardedChanges result = WithFullValues(LatestOfEachItem(changes));
-  for (ForwardedEvent& passed_on : result.events) {
-    store::Item& item = passed_on.event.item;
-    if (passed_on.event.removed || item.value.size() < kPatchedItemBytes) continue;
+  for (ForwardedEvent& forwarded : result.events) {
+    store::Item& item = forwarded.event.item;
+    if (forwarded.event.removed || item.value.size() < kPatchedItemBytes) continue;
     store::Item& former = large_items_[item.key];
     const store::Item current = item;
     if (former.revision != 0) {
       std::string patch = MakeTextPatch(former.value, item.value);
       if (patch.size() < item.value.size()) {
         item.value = std::move(patch);
-        passed_on.base_revision = former.revision;
+        forwarded.base_revision = former.revision;
       }
     }
     former = current;
--- a/tests/sidecar/feed_tree_test.cc
+++ b/tests/sidecar/feed_tree_test.cc
@@ -135,13 +135,13 @@
   CHECK_FALSE(RankOf(Record("x", "z0")) < RankOf(Record("x", "z0")));
   // Among equal machines the first ranks are spread over zones, though nodes with adjacent names
   // share a zone.
-  std::map<CandidateRank, std::string> line;
+  std::map<CandidateRank, std::string> zones_by_rank;
   for (size_t index = 0; index < 60; ++index) {
-    line[RankOf(Record(NodeName(index), "z0"))] = "z" + std::to_string(index / 10);
+    zones_by_rank[RankOf(Record(NodeName(index), "z0"))] = "z" + std::to_string(index / 10);
   }
-  CHECK_EQUAL(60, line.size());
+  CHECK_EQUAL(60, zones_by_rank.size());
   std::set<std::string> zones;
-  auto place = line.begin();
-  for (int first = 0; first < 8; ++first) zones.insert((place++)->second);
+  auto position = zones_by_rank.begin();
+  for (int first = 0; first < 8; ++first) zones.insert((position++)->second);
   CHECK(zones.size() >= 3);
 }
