--- a/source/sidecar/feed_messages.cc
+++ b/source/sidecar/feed_messages.cc
@@ -15,8 +15,8 @@
   return json::binary(std::vector<uint8_t>(text.begin(), text.end()));
 }
 
-bool ReadEvent(const json& row, PassedOnEvent* passed_on) {
-  store::WatchEvent* event = &passed_on->event;
+bool ReadEvent(const json& row, ForwardedEvent* forwarded) {
+  store::WatchEvent* event = &forwarded->event;
   if (!row.is_array() || row.size() != 6) return false;
   if (!row[0].is_string() || !row[1].is_number_integer() || !row[2].is_number_integer() ||
       !row[3].is_boolean() || !row[4].is_binary() || !row[5].is_number_integer()) {
@@ -28,14 +28,14 @@
   event->removed = row[3].get<bool>();
   const auto& bytes = row[4].get_binary();
   event->item.value.assign(bytes.begin(), bytes.end());
-  passed_on->base_revision = row[5].get<store::Revision>();
+  forwarded->base_revision = row[5].get<store::Revision>();
   return true;
 }
 
 }  // namespace
 
-PassedOnChanges Whole(const store::ChangeSet& changes) {
-  PassedOnChanges result;
+ForwardedChanges WithFullValues(const store::ChangeSet& changes) {
+  ForwardedChanges result;
   result.complete = changes.complete;
   result.from = changes.from;
   result.to = changes.to;
@@ -55,22 +55,22 @@
   return changes;
 }
 
-std::optional<store::ChangeSet> ApplyPatches(const PassedOnChanges& changes,
+std::optional<store::ChangeSet> ApplyPatches(const ForwardedChanges& changes,
                                              const std::map<std::string, store::Item>& items) {
   store::ChangeSet result;
   result.complete = changes.complete;
   result.from = changes.from;
   result.to = changes.to;
-  for (const PassedOnEvent& passed_on : changes.events) {
-    store::WatchEvent event = passed_on.event;
-    if (passed_on.base_revision != 0) {
+  for (const ForwardedEvent& forwarded : changes.events) {
+    store::WatchEvent event = forwarded.event;
+    if (forwarded.base_revision != 0) {
       const auto base = items.find(event.item.key);
-      // Known already, or newer: the watcher leaves such an event out.
+      // The receiver has this or a newer revision; the watcher ignores the event.
       const bool known = base != items.end() && base->second.revision >= event.item.revision;
       if (known) {
         event.item = base->second;
       } else {
-        if (base == items.end() || base->second.revision != passed_on.base_revision) {
+        if (base == items.end() || base->second.revision != forwarded.base_revision) {
           return std::nullopt;
         }
         auto value = ApplyTextPatch(base->second.value, event.item.value);
@@ -102,12 +102,12 @@
   return beacon;
 }
 
-std::string SerializeChanges(const std::string& prefix, const PassedOnChanges& changes) {
+std::string SerializeChanges(const std::string& prefix, const ForwardedChanges& changes) {
   json events = json::array();
-  for (const PassedOnEvent& passed_on : changes.events) {
-    const store::WatchEvent& event = passed_on.event;
+  for (const ForwardedEvent& forwarded : changes.events) {
+    const store::WatchEvent& event = forwarded.event;
     events.push_back({event.item.key, event.item.revision, event.item.lease, event.removed,
-                      ToBinary(event.item.value), passed_on.base_revision});
+                      ToBinary(event.item.value), forwarded.base_revision});
   }
   const json body{{"prefix", prefix},
                   {"complete", changes.complete},
@@ -118,7 +118,7 @@
   return {bytes.begin(), bytes.end()};
 }
 
-bool ParseChanges(std::string_view text, std::string* prefix, PassedOnChanges* changes) {
+bool ParseChanges(std::string_view text, std::string* prefix, ForwardedChanges* changes) {
   const json body = json::from_cbor(text.begin(), text.end(), /*strict=*/true,
                                     /*allow_exceptions=*/false);
   if (!body.is_object()) return false;
@@ -136,7 +136,7 @@
   changes->to = body["to"].get<store::Revision>();
   changes->events.clear();
   for (const json& row : body["events"]) {
-    PassedOnEvent event;
+    ForwardedEvent event;
     if (!ReadEvent(row, &event)) return false;
     changes->events.push_back(std::move(event));
   }
--- a/tests/sidecar/state_feed_test.cc
+++ b/tests/sidecar/state_feed_test.cc
@@ -9,7 +9,7 @@
 
 TEST_GROUP(StateFeedForms){};
 
-TEST(StateFeedForms, AChangeSetSurvivesItsWay) {
+TEST(StateFeedForms, AChangeSetIsUnchangedBySerialization) {
   store::ChangeSet changes;
   changes.from = 5;
   changes.to = 9;
@@ -21,8 +21,8 @@
   removed.removed = true;
   changes.events = {written, removed};
   std::string prefix;
-  PassedOnChanges read;
-  CHECK(ParseChanges(SerializeChanges("p/", Whole(changes)), &prefix, &read));
+  ForwardedChanges read;
+  CHECK(ParseChanges(SerializeChanges("p/", WithFullValues(changes)), &prefix, &read));
   STRCMP_EQUAL("p/", prefix.c_str());
   CHECK_EQUAL(5, read.from);
   CHECK_EQUAL(9, read.to);
@@ -32,11 +32,11 @@
   CHECK(read.events[1].event.removed);
 }
 
-TEST(StateFeedForms, APatchNeedsTheValueThatItStartsFrom) {
-  PassedOnChanges changes;
+TEST(StateFeedForms, APatchNeedsItsBaseRevision) {
+  ForwardedChanges changes;
   changes.from = 5;
   changes.to = 8;
-  PassedOnEvent patched;
+  ForwardedEvent patched;
   patched.event.item = {"map", MakeTextPatch("[1],[2]", "[1],[3]"), 8, 0};
   patched.base_revision = 5;
   changes.events = {patched};
@@ -46,14 +46,14 @@
   STRCMP_EQUAL("[1],[3]", ApplyPatches(changes, items)->events[0].item.value.c_str());
   items["map"].revision = 4;
   CHECK_FALSE(ApplyPatches(changes, items).has_value());
-  // A newer value is kept: the event is one of the past.
+  // The receiver has a newer revision, so it keeps its own value.
   items["map"] = {"map", "[9]", 9, 0};
   STRCMP_EQUAL("[9]", ApplyPatches(changes, items)->events[0].item.value.c_str());
   items["map"] = {"map", "", 5, 0};
   CHECK_FALSE(ApplyPatches(changes, items).has_value());
 }
 
-TEST(StateFeedForms, OnlyTheLatestChangeOfAnItemIsPassedOn) {
+TEST(StateFeedForms, OnlyTheLatestChangeOfAnItemIsForwarded) {
   store::ChangeSet changes;
   changes.from = 5;
   changes.to = 8;
@@ -66,10 +66,10 @@
   CHECK_EQUAL(8, latest.to);
 }
 
-TEST(StateFeedForms, BytesThatAreNoChangeSetAreRefused) {
+TEST(StateFeedForms, MalformedChangeSetsAreRefused) {
   std::string prefix;
-  PassedOnChanges changes;
-  const std::string whole = SerializeChanges("p/", {false, 1, 2, {PassedOnEvent{}}});
+  ForwardedChanges changes;
+  const std::string whole = SerializeChanges("p/", {false, 1, 2, {ForwardedEvent{}}});
   for (size_t size = 0; size < whole.size(); ++size) {
     CHECK_FALSE(ParseChanges(whole.substr(0, size), &prefix, &changes));
   }
@@ -77,7 +77,7 @@
   CHECK_FALSE(ParseChanges("{}", &prefix, &changes));
 }
 
-TEST(StateFeedForms, ABeaconSurvivesItsWayAndBrokenOnesAreRefused) {
+TEST(StateFeedForms, ABeaconIsUnchangedBySerializationAndMalformedOnesAreRefused) {
   StateBeacon beacon;
   beacon.node = "n";
   beacon.revisions["p/"] = 12;
