--- a/source/sidecar/sidecar.cc
+++ b/source/sidecar/sidecar.cc
@@ -225,8 +225,8 @@
   log_.Write(LogLevel::kInfo, "store_connections_silent", {{"store_calls", store_.calls()}});
   store_.CloseIdleConnections();
   lease_.RenewAgain();
-  configuration_watcher_.WatchAgain();
-  state_watcher_.WatchAgain();
+  configuration_watcher_.RestartWatch();
+  state_watcher_.RestartWatch();
 }
 
 void Sidecar::OnWatchUnanswered(const store::PrefixWatcher& watcher,
@@ -241,7 +241,7 @@
   // ones are closed by now, so that no later call would find out.
   if (!store_.answers_promptly()) return;
   for (store::PrefixWatcher* other : {&configuration_watcher_, &state_watcher_}) {
-    if (other != &watcher) other->WatchAgain();
+    if (other != &watcher) other->RestartWatch();
   }
 }
 
--- a/source/sidecar/state_feed.cc
+++ b/source/sidecar/state_feed.cc
@@ -39,7 +39,7 @@
 void StateFeed::Start() {
   started_at_ = loop_.Now();
   for (store::PrefixWatcher* watcher : watchers_) {
-    watcher->set_ask_other(
+    watcher->set_fetch_from_peer(
         [this, watcher](const std::function<void(bool)>& done) { AskForSnapshot(watcher, done); });
   }
   heard_at_ = started_at_;
--- a/source/store/prefix_watcher.cc
+++ b/source/store/prefix_watcher.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // Answers of others that leave something missing, before the range is read.
-constexpr int kAsksBeforeRead = 3;
+constexpr int kMaxIncompleteAnswers = 3;
 
 }  // namespace
 
@@ -149,12 +149,12 @@
 void PrefixWatcher::SetConfirming(bool confirming) {
   if (confirming == schedule_.confirming()) return;
   schedule_.SetConfirming(confirming);
-  if (confirming) WatchAgain();
+  if (confirming) RestartWatch();
 }
 
-void PrefixWatcher::WatchAgain() {
+void PrefixWatcher::RestartWatch() {
   schedule_.Restart();
-  if (following_ || !watching_ || waits_shortly_) return;
+  if (following_ || !watching_ || short_watch_) return;
   watching_ = false;
   // Its failure later on would say nothing of the connections of that time.
   store_.CancelWatch(watch_);
@@ -183,27 +183,27 @@
 }
 
 void PrefixWatcher::CatchUp(Revision revision) {
-  if (revision <= revision_ || !synchronized_ || (reading_range_ && !WaitsToReadAgain())) return;
-  missing_up_to_ = std::max(missing_up_to_, revision);
-  if (asking_) return;
-  if (!ask_other_) {
+  if (revision <= revision_ || !synchronized_ || (reading_range_ && !ReadRetryPending())) return;
+  wanted_revision_ = std::max(wanted_revision_, revision);
+  if (fetching_from_peer_) return;
+  if (!fetch_from_peer_) {
     if (!reading_range_) Refresh();
     return;
   }
-  asking_ = true;
-  ask_other_([this](bool answered) { OnAsked(answered); });
+  fetching_from_peer_ = true;
+  fetch_from_peer_([this](bool answered) { OnPeerFetched(answered); });
 }
 
-void PrefixWatcher::OnAsked(bool answered) {
-  asking_ = false;
-  if (missing_up_to_ <= revision_) {
-    asked_in_vain_ = 0;
+void PrefixWatcher::OnPeerFetched(bool answered) {
+  fetching_from_peer_ = false;
+  if (wanted_revision_ <= revision_) {
+    incomplete_answers_ = 0;
     return;
   }
   // The other one may be behind by a moment itself, while many changes come.
-  const bool in_vain = !answered || ++asked_in_vain_ >= kAsksBeforeRead;
-  if (!in_vain || stopped_ || reading_range_) return;
-  asked_in_vain_ = 0;
+  const bool needs_read = !answered || ++incomplete_answers_ >= kMaxIncompleteAnswers;
+  if (!needs_read || stopped_ || reading_range_) return;
+  incomplete_answers_ = 0;
   Refresh();
 }
 
@@ -221,7 +221,7 @@
   };
   watch_sent_at_ = loop_.Now();
   const auto times = schedule_.NextTimes();
-  waits_shortly_ = schedule_.NextIsShort();
+  short_watch_ = schedule_.NextIsShort();
   if (times.has_value()) {
     watch_ = store_.Watch(config_.prefix, revision_, *times, on_page);
   } else {
--- a/source/store/prefix_watcher.h
+++ b/source/store/prefix_watcher.h
@@ -87,7 +87,7 @@
   void SetConfirming(bool confirming);
   // Asks for changes again, since the watch that waits may never be answered; not when that is
   // noticed soon.
-  void WatchAgain();
+  void RestartWatch();
   // While following, no watch is held at the store: changes come by Apply.
   void SetFollowing(bool following);
   bool following() const { return following_; }
@@ -101,8 +101,10 @@
   void CatchUp(Revision revision);
   // Asks another process for its copy, which comes by ApplyChanges; `done` is called after it, or
   // with false when none came. Without it the range is read.
-  using AskOther = std::function<void(std::function<void(bool answered)> done)>;
-  void set_ask_other(AskOther ask_other) { ask_other_ = std::move(ask_other); }
+  using FetchFromPeer = std::function<void(std::function<void(bool answered)> done)>;
+  void set_fetch_from_peer(FetchFromPeer fetch_from_peer) {
+    fetch_from_peer_ = std::move(fetch_from_peer);
+  }
   const std::string& prefix() const { return config_.prefix; }
   // The copy includes all changes up to `revision`.
   bool CompleteTo(Revision revision) const { return revision <= revision_; }
@@ -130,13 +132,13 @@
   void OnWatchFailed(const absl::Status& status);
   void OnWatch(uint64_t generation, absl::StatusOr<WatchPage> page);
   void ContinueWatching();
-  void OnAsked(bool answered);
+  void OnPeerFetched(bool answered);
   void Apply(const WatchEvent& event);
   void ApplyItem(const Item& item);
   void ApplyRemoval(const std::string& key, Revision revision);
   void RetryLater(bool read_again);
   // A read failed, and its next try is not due yet.
-  bool WaitsToReadAgain() const { return reading_range_ && timer_.active(); }
+  bool ReadRetryPending() const { return reading_range_ && timer_.active(); }
   // How long to wait for further changes after a batch has come.
   Duration WaitAfterChanges();
 
@@ -160,13 +162,13 @@
   Instant watch_sent_at_{};
   bool following_ = false;
   WatchSchedule schedule_;
-  bool waits_shortly_ = false;  // The loss of the watch that waits is noticed soon.
+  bool short_watch_ = false;  // The loss of the watch that waits is noticed soon.
   bool read_next_ = true;
   bool stopped_ = true;
-  AskOther ask_other_;
-  bool asking_ = false;         // Another process, for its copy.
-  int asked_in_vain_ = 0;       // Times in a row that an answer did not bring all that was missing.
-  Revision missing_up_to_ = 0;  // What it was asked for.
+  FetchFromPeer fetch_from_peer_;
+  bool fetching_from_peer_ = false;  // Another process, for its copy.
+  int incomplete_answers_ = 0;  // Times in a row that an answer did not bring all that was missing.
+  Revision wanted_revision_ = 0;  // What it was asked for.
   uint64_t stale_items_ = 0;
   uint64_t lost_histories_ = 0;
 };
--- a/tests/platform_adapter/store_access_test.cc
+++ b/tests/platform_adapter/store_access_test.cc
@@ -290,7 +290,7 @@
   CHECK(RunUntil(loop, [&] { return watcher.synchronized(); }));
   watcher.SetFollowing(true);
   int asked = 0;
-  watcher.set_ask_other([&](const std::function<void(bool)>& done) {
+  watcher.set_fetch_from_peer([&](const std::function<void(bool)>& done) {
     ++asked;
     store::ChangeSet copy;
     copy.complete = true;
