--- a/source/sidecar/inbound_handler.cc
+++ b/source/sidecar/inbound_handler.cc
@@ -211,14 +211,15 @@
   peer_protocol::RemoveHeaders(&request.head.headers);
   request.head.headers.RemoveConnectionHeaders();
   request.head.headers.Remove("Host");
-  store_.PassOn(request, kStoreCallTimeout, [exchange](std::optional<http::Response> response) {
-    if (!response.has_value()) {
-      exchange->Abort();
-      return;
-    }
-    response->headers.RemoveConnectionHeaders();
-    exchange->Respond(response->status, response->headers, response->body);
-  });
+  store_.ForwardForPeer(request, kStoreCallTimeout,
+                        [exchange](std::optional<http::Response> response) {
+                          if (!response.has_value()) {
+                            exchange->Abort();
+                            return;
+                          }
+                          response->headers.RemoveConnectionHeaders();
+                          exchange->Respond(response->status, response->headers, response->body);
+                        });
 }
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/sidecar.cc
+++ b/source/sidecar/sidecar.cc
@@ -145,7 +145,7 @@
     metrics_.OnStateTransfer(transfer.succeeded, transfer.bytes, transfer.took);
   });
   ingress_.set_configuration_is_behind([this] { return feed_.IsBehind(wire_.ConfigurationKey()); });
-  feed_.set_store_answers([this] { return store_.direct_way_works(); });
+  feed_.set_store_answers([this] { return store_.direct_path_works(); });
   peers_.set_on_stop_notice([this](const std::string& node) {
     log_.Write(LogLevel::kInfo, "peer_stopping",
                {{"node", node}, {"store_reachable", store_.reachable()}});
@@ -607,7 +607,7 @@
               {"store_transactions", calls.transactions},
               {"store_leases", calls.leases},
               {"store_renewals", calls.renewals},
-              {"store_passed_on", calls.passed_on}});
+              {"store_passed_on", calls.forwarded_for_peers}});
 }
 
 void Sidecar::OnLoopTurn(Duration turn) {
--- a/source/store/store_client.cc
+++ b/source/store/store_client.cc
@@ -55,7 +55,7 @@
   Instant sent_directly_at{};
   bool tried_direct = false;
   bool tried_relay = false;
-  bool may_be_done = false;  // Some way gave no answer.
+  bool may_have_executed = false;  // Some way gave no answer.
   std::optional<http::Response> refusal;
 };
 
@@ -79,7 +79,7 @@
       endpoint, http::SerializeRequest(head, request.body), options, timeout,
       [this, endpoint, callback = std::move(callback)](std::optional<http::Response> response) {
         if (response.has_value()) {
-          NoteEra(*response);
+          UpdateEra(*response);
         } else {
           // Others that are open may have fallen silent with this one.
           pool_.CloseIdle(endpoint);
@@ -88,7 +88,7 @@
       });
 }
 
-void StoreClient::NoteEra(const http::Response& response) {
+void StoreClient::UpdateEra(const http::Response& response) {
   const std::optional<StoreEra> era = codec_.DecodeEra(response);
   // An answer of an earlier era may have been held up.
   if (!era.has_value() || (era_.has_value() && *era <= *era_)) return;
@@ -112,13 +112,13 @@
   return transaction;
 }
 
-void StoreClient::PassOn(const http::Request& request, Duration timeout,
-                         std::function<void(std::optional<http::Response>)> callback) {
-  if (!direct_way_works()) {
+void StoreClient::ForwardForPeer(const http::Request& request, Duration timeout,
+                                 std::function<void(std::optional<http::Response>)> callback) {
+  if (!direct_path_works()) {
     callback(http::Response{kServiceUnavailable, {}, ""});
     return;
   }
-  ++counts_.passed_on;
+  ++counts_.forwarded_for_peers;
   Start(config_.endpoint, request, timeout, std::move(callback));
 }
 
@@ -128,17 +128,17 @@
   call->request = std::move(request);
   call->callback = std::move(callback);
   const bool avoid_direct = relay_ != nullptr && loop_.Now() < avoid_direct_until_;
-  Send(call, avoid_direct ? Way::kRelayed : Way::kDirect);
+  Send(call, avoid_direct ? Path::kRelayed : Path::kDirect);
 }
 
-void StoreClient::Send(const std::shared_ptr<PendingCall>& call, Way way) {
-  if (way == Way::kDirect) {
+void StoreClient::Send(const std::shared_ptr<PendingCall>& call, Path path) {
+  if (path == Path::kDirect) {
     call->tried_direct = true;
     call->sent_directly_at = loop_.Now();
     ++*call->count;
     Start(config_.endpoint, call->request, config_.call_timeout,
           [this, call](std::optional<http::Response> response) {
-            OnResponse(call, Way::kDirect, std::move(response));
+            OnResponse(call, Path::kDirect, std::move(response));
           });
     return;
   }
@@ -146,9 +146,9 @@
   const auto peer = relay_ == nullptr ? std::nullopt : relay_->ChoosePeer();
   if (!peer.has_value()) {
     if (!call->tried_direct) {
-      Send(call, Way::kDirect);
+      Send(call, Path::kDirect);
     } else {
-      Finish(call, call->refusal.has_value() && !call->may_be_done
+      Finish(call, call->refusal.has_value() && !call->may_have_executed
                        ? absl::StatusOr<http::Response>(*call->refusal)
                        : absl::UnknownError("no answer from the store"));
     }
@@ -158,14 +158,14 @@
   relay_->MarkForRelay(&marked);
   ++*call->count;
   Start(*peer, marked, config_.call_timeout, [this, call](std::optional<http::Response> response) {
-    OnResponse(call, Way::kRelayed, std::move(response));
+    OnResponse(call, Path::kRelayed, std::move(response));
   });
 }
 
-void StoreClient::OnResponse(const std::shared_ptr<PendingCall>& call, Way way,
+void StoreClient::OnResponse(const std::shared_ptr<PendingCall>& call, Path path,
                              std::optional<http::Response> response) {
   const bool answered = response.has_value() && !IsRefusal(*response);
-  if (way == Way::kDirect) {
+  if (path == Path::kDirect) {
     if (answered) {
       avoid_direct_until_ = Instant{};
       answered_call_sent_at_ = std::max(answered_call_sent_at_, call->sent_directly_at);
@@ -182,15 +182,15 @@
   if (response.has_value()) {
     call->refusal = std::move(response);
   } else {
-    call->may_be_done = true;
+    call->may_have_executed = true;
   }
   if (!call->tried_direct) {
-    Send(call, Way::kDirect);
+    Send(call, Path::kDirect);
   } else if (!call->tried_relay) {
-    Send(call, Way::kRelayed);
+    Send(call, Path::kRelayed);
   } else {
     SetReachable(false);
-    if (call->refusal.has_value() && !call->may_be_done) {
+    if (call->refusal.has_value() && !call->may_have_executed) {
       Finish(call, *call->refusal);
     } else {
       Finish(call, absl::UnknownError("no answer from the store"));
@@ -204,9 +204,9 @@
   const bool only_connection =
       !call.refusal.has_value() && answered_call_sent_at_ > call.sent_directly_at;
   if (!only_connection) avoid_direct_until_ = loop_.Now() + config_.avoid_direct;
-  const bool told_lately = loop_.Now() - direct_lost_at_ < config_.avoid_direct;
-  if (!works || (only_connection && told_lately)) return;
-  direct_lost_at_ = loop_.Now();
+  const bool reported_recently = loop_.Now() - direct_loss_reported_at_ < config_.avoid_direct;
+  if (!works || (only_connection && reported_recently)) return;
+  direct_loss_reported_at_ = loop_.Now();
   if (on_direct_lost_) on_direct_lost_();
 }
 
--- a/source/store/store_client.h
+++ b/source/store/store_client.h
@@ -41,7 +41,7 @@
   uint64_t transactions = 0;
   uint64_t leases = 0;  // Taken or ended.
   uint64_t renewals = 0;
-  uint64_t passed_on = 0;  // Of peers.
+  uint64_t forwarded_for_peers = 0;  // Of peers.
 };
 
 // Status codes of answers: those of StoreCodec, and kUnknown when no answer came, so that a write
@@ -87,8 +87,8 @@
 
   // Passes a request of a peer on, directly only; nullopt when no answer came. While the direct way
   // fails here too, it is refused at once, inside the call, and nothing was done.
-  void PassOn(const http::Request& request, Duration timeout,
-              std::function<void(std::optional<http::Response>)> callback);
+  void ForwardForPeer(const http::Request& request, Duration timeout,
+                      std::function<void(std::optional<http::Response>)> callback);
 
   // Connections that are open may have fallen silent: later calls are made on new ones.
   void CloseIdleConnections() { pool_.CloseIdle(config_.endpoint); }
@@ -96,7 +96,7 @@
   // The latest call that was sent to the store directly and answered had its answer soon.
   bool answers_promptly() const { return answers_promptly_; }
   // The store answered the latest call that was sent to it directly.
-  bool direct_way_works() const { return avoid_direct_until_ == Instant{}; }
+  bool direct_path_works() const { return avoid_direct_until_ == Instant{}; }
   // The latest that an answer told of; zero before.
   StoreEra era() const { return era_.value_or(0); }
   // When this process first knew of the present era.
@@ -108,20 +108,20 @@
 
  private:
   using ResponseCallback = std::function<void(absl::StatusOr<http::Response>)>;
-  enum class Way { kDirect, kRelayed };
+  enum class Path { kDirect, kRelayed };
   struct PendingCall;
 
   // `count`: the kind of the call in `counts_`.
   void Call(uint64_t* count, http::Request request, ResponseCallback callback);
   void OnDirectFailed(const PendingCall& call);
-  void Send(const std::shared_ptr<PendingCall>& call, Way way);
-  void OnResponse(const std::shared_ptr<PendingCall>& call, Way way,
+  void Send(const std::shared_ptr<PendingCall>& call, Path path);
+  void OnResponse(const std::shared_ptr<PendingCall>& call, Path path,
                   std::optional<http::Response> response);
   void Finish(const std::shared_ptr<PendingCall>& call, absl::StatusOr<http::Response> result);
   uint64_t Start(const event::Endpoint& endpoint, const http::Request& request, Duration timeout,
                  std::function<void(std::optional<http::Response>)> callback);
   void SetReachable(bool reachable);
-  void NoteEra(const http::Response& response);
+  void UpdateEra(const http::Response& response);
   // In which the store gave the answer, as far as is known.
   StoreEra EraOfAnswer(const http::Response& response) const;
   // The transaction as the store understands it. A condition from another era holds for no item.
@@ -142,8 +142,8 @@
   uint64_t call_count_ = 0;
   StoreCallCounts counts_;
   Instant avoid_direct_until_{};
-  Instant direct_lost_at_{};         // When that was told last.
-  Instant answered_call_sent_at_{};  // Of the calls that the store answered directly, the latest.
+  Instant direct_loss_reported_at_{};  // When that was told last.
+  Instant answered_call_sent_at_{};    // Of the calls that the store answered directly, the latest.
   bool reachable_ = true;
   bool answers_promptly_ = true;
 };
--- a/tests/platform_adapter/store_access_test.cc
+++ b/tests/platform_adapter/store_access_test.cc
@@ -24,7 +24,7 @@
       : pool_(loop),
         codec_(),
         client_(loop, pool_, codec_, Config(store)),
-        server_(loop, [this](const http::ExchangePtr& exchange) { PassOn(exchange); }) {
+        server_(loop, [this](const http::ExchangePtr& exchange) { ForwardForPeer(exchange); }) {
     server_.Listen({"127.0.0.1", 0});
   }
 
@@ -42,14 +42,14 @@
     return config;
   }
 
-  void PassOn(const http::ExchangePtr& exchange) {
+  void ForwardForPeer(const http::ExchangePtr& exchange) {
     ++passed;
     http::Request request = exchange->request();
     request.head.headers.RemoveConnectionHeaders();
-    client_.PassOn(request, std::chrono::seconds(3),
-                   [exchange](const std::optional<http::Response>& response) {
-                     if (response) exchange->Respond(response->status, {}, response->body);
-                   });
+    client_.ForwardForPeer(request, std::chrono::seconds(3),
+                           [exchange](const std::optional<http::Response>& response) {
+                             if (response) exchange->Respond(response->status, {}, response->body);
+                           });
   }
 
   http::ConnectionPool pool_;
@@ -184,8 +184,9 @@
   CHECK(RunUntil(loop, [&] { return over; }));
   const uint64_t calls = fake.calls("/runshelf/kv-range");
   std::optional<http::Response> answer;
-  client.PassOn(codec.EncodeRange("", ""), std::chrono::seconds(1),
-                [&](std::optional<http::Response> response) { answer = std::move(response); });
+  client.ForwardForPeer(
+      codec.EncodeRange("", ""), std::chrono::seconds(1),
+      [&](std::optional<http::Response> response) { answer = std::move(response); });
   CHECK(RunUntil(loop, [&] { return answer.has_value(); }));
   CHECK_EQUAL(503, answer->status);
   CHECK_EQUAL(calls, fake.calls("/runshelf/kv-range"));
