--- a/source/sidecar/sidecar.cc
+++ b/source/sidecar/sidecar.cc
@@ -224,7 +224,7 @@
 void Sidecar::OnStoreSilent() {
   log_.Write(LogLevel::kInfo, "store_connections_silent", {{"store_calls", store_.calls()}});
   store_.CloseIdleConnections();
-  lease_.RenewAgain();
+  lease_.ResendRenewal();
   configuration_watcher_.RestartWatch();
   state_watcher_.RestartWatch();
 }
--- a/source/sidecar/store_probe.cc
+++ b/source/sidecar/store_probe.cc
@@ -30,7 +30,7 @@
 }
 
 void StoreProbe::Judge() {
-  const bool silent = lease_.AwaitsRenewalFor() + kTimerRounding >= config_.patience;
+  const bool silent = lease_.RenewalPendingFor() + kTimerRounding >= config_.patience;
   const bool begins = silent && !silent_;
   silent_ = silent;
   if (!begins || loop_.Now() - told_at_ < config_.rest) return;
--- a/source/store/blocking_store.cc
+++ b/source/store/blocking_store.cc
@@ -13,9 +13,11 @@
   return config;
 }
 
-std::string InnerKey(const std::string& key) { return key.starts_with('/') ? key.substr(1) : key; }
+std::string KeyWithoutSlash(const std::string& key) {
+  return key.starts_with('/') ? key.substr(1) : key;
+}
 
-std::string OuterKey(const std::string& key) { return "/" + key; }
+std::string KeyWithSlash(const std::string& key) { return "/" + key; }
 
 // Starts an operation and runs the loop until its callback was called.
 template <typename Result>
@@ -45,12 +47,12 @@
   infrastructure::RangeResult result;
   std::string after_key;
   while (true) {
-    const absl::StatusOr<RangePage> page = ReadPage(InnerKey(prefix), after_key);
+    const absl::StatusOr<RangePage> page = ReadPage(KeyWithoutSlash(prefix), after_key);
     if (!page.ok()) return page.status();
     if (result.revision == 0) result.revision = page->revision;
     for (const Item& item : page->items) {
       infrastructure::KeyValue key_value;
-      key_value.key = OuterKey(item.key);
+      key_value.key = KeyWithSlash(item.key);
       key_value.value = item.value;
       key_value.mod_revision = item.revision;
       key_value.lease = item.lease;
@@ -69,13 +71,13 @@
   }
   Transaction transaction;
   for (const infrastructure::Condition& condition : conditions) {
-    transaction.conditions.push_back({InnerKey(condition.key), condition.mod_revision});
+    transaction.conditions.push_back({KeyWithoutSlash(condition.key), condition.mod_revision});
   }
   for (const infrastructure::Write& write : writes) {
     if (write.value.has_value()) {
-      transaction.puts.push_back({InnerKey(write.key), *write.value, write.lease});
+      transaction.puts.push_back({KeyWithoutSlash(write.key), *write.value, write.lease});
     } else {
-      transaction.removals.push_back(InnerKey(write.key));
+      transaction.removals.push_back(KeyWithoutSlash(write.key));
     }
   }
   const auto committed = Await<absl::StatusOr<CommitResult>>(
--- a/source/store/lease_keeper.cc
+++ b/source/store/lease_keeper.cc
@@ -73,11 +73,11 @@
   if (loop_.Now() - renewal_sent_at_ >= config_.retry_interval) Renew();
 }
 
-void LeaseKeeper::RenewAgain() {
-  if (AwaitsRenewalFor() > Duration(0)) Renew();
+void LeaseKeeper::ResendRenewal() {
+  if (RenewalPendingFor() > Duration(0)) Renew();
 }
 
-Duration LeaseKeeper::AwaitsRenewalFor() const {
+Duration LeaseKeeper::RenewalPendingFor() const {
   const bool awaits = !ended_ && calling_ && lease_ != 0;
   return awaits ? loop_.Now() - renewal_sent_at_ : Duration(0);
 }
--- a/source/store/lease_keeper.h
+++ b/source/store/lease_keeper.h
@@ -32,9 +32,9 @@
   // failed calls are repeated.
   void RenewNow();
   // Renews once more while the answer to a renewal is awaited, which may never come.
-  void RenewAgain();
+  void ResendRenewal();
   // For which the answer to a renewal is awaited now; zero when none is.
-  Duration AwaitsRenewalFor() const;
+  Duration RenewalPendingFor() const;
   // Ends the lease: its item goes at once.
   void End();
   // The store came back from an older copy of its data: the lease may be gone, and its id
