--- a/source/sidecar/node_metrics.cc
+++ b/source/sidecar/node_metrics.cc
@@ -147,7 +147,7 @@
   counter("runshelf_log_lines_dropped_total", "Log lines lost since nobody read them in time.",
           gauges.log_lines_dropped);
   gauge("runshelf_state_silence_seconds", "Since the latest beacon of another node.",
-        std::chrono::duration<double>(gauges.silence_of_others).count());
+        std::chrono::duration<double>(gauges.since_peer_beacon).count());
   auto& behind = prometheus::BuildGauge()
                      .Name("runshelf_state_behind_seconds")
                      .Help("For how long others have announced changes that are missing here.")
--- a/source/sidecar/node_metrics.h
+++ b/source/sidecar/node_metrics.h
@@ -49,7 +49,7 @@
   uint64_t quarantine_trials = 0;
   uint64_t log_lines_dropped = 0;
   std::map<std::string, Freshness> freshness;  // Of the parts of the state, by prefix.
-  Duration silence_of_others{0};               // Since the latest beacon of another node.
+  Duration since_peer_beacon{0};               // Since the latest beacon of another node.
 };
 
 class NodeMetrics {
--- a/source/sidecar/part_configs.cc
+++ b/source/sidecar/part_configs.cc
@@ -9,7 +9,7 @@
 constexpr Duration kLeaseTimeToLive = std::chrono::seconds(8);
 constexpr Duration kGrantHold = std::chrono::seconds(3);
 // Heartbeats that may be missed before a worker counts as cut off; single ones come late.
-constexpr double kSilentHeartbeats = 2.5;
+constexpr double kMissedHeartbeats = 2.5;
 constexpr double kBytesPerMegabit = 125000;
 
 }  // namespace
@@ -44,7 +44,7 @@
   config.hold = std::min(kGrantHold, settings.bounds.max_hold);
   config.heartbeat_hold = std::min(kLeaseTimeToLive, settings.bounds.max_hold);
   config.heartbeat_silence =
-      std::chrono::duration_cast<Duration>(settings.heartbeat_interval * kSilentHeartbeats);
+      std::chrono::duration_cast<Duration>(settings.heartbeat_interval * kMissedHeartbeats);
   return config;
 }
 
--- a/source/sidecar/sidecar.cc
+++ b/source/sidecar/sidecar.cc
@@ -24,12 +24,12 @@
 // A turn of the event loop that is worth a line: health checks and beacons wait as long.
 constexpr Duration kLongTurn = std::chrono::milliseconds(250);
 // Time without a turn of the loop after which everything known may be old.
-constexpr Duration kPauseNoticed = std::chrono::milliseconds(2500);
+constexpr Duration kPauseThreshold = std::chrono::milliseconds(2500);
 // Nodes that write an end they were told of to the store. Of a fleet whose nodes are started again
 // while the store is away some must live on; each may cost a call or two when the store is back.
-constexpr size_t kEndWriters = 8;
+constexpr size_t kWorkerEndWriters = 8;
 // For another node to take a message. One that does not is told by the store, once it is back.
-constexpr Duration kTellTimeout = std::chrono::seconds(1);
+constexpr Duration kWorkerEndCallTimeout = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -46,7 +46,7 @@
       order_pool_(loop),
       store_(loop, pool_, codec, StoreConfig(settings_)),
       peers_(settings_.node_name, settings_.zone),
-      told_ends_(loop, pool_),
+      worker_end_calls_(loop, pool_),
       quarantine_(loop, store_, wire, random, log, settings_.node_name),
       gate_(loop, pool_, wire, settings_.worker),
       monitor_(loop, pool_, order_pool_, store_, wire, settings_,
@@ -88,7 +88,7 @@
                                                    BeaconPort(settings_)),
             peers_, {&configuration_watcher_, &state_watcher_}, log, FeedConfig(settings_)),
       store_probe_(
-          loop, lease_, [this] { return feed_.leading(); }, [this] { OnStoreSilent(); }),
+          loop, lease_, [this] { return feed_.leading(); }, [this] { OnStoreUnresponsive(); }),
       loop_monitor_(loop, [this](Duration turn) { OnLoopTurn(turn); }),
       ingress_(IngressContext{loop, pool_, wire, settings_, peers_, shard_directory_, table_,
                               quarantine_, gate_, log, metrics_, random, stop_schedule_}),
@@ -114,9 +114,10 @@
   gate_.set_evidence(&monitor_);
   gate_.set_quarantine(&quarantine_);
   memory_.set_on_changed([this] { OnMemoryChanged(); });
-  quarantine_.set_end_teller([this](const std::string& message) { TellOthers(message); });
+  quarantine_.set_end_teller([this](const std::string& message) { BroadcastWorkerEnd(message); });
   quarantine_.set_on_written([this](const store::Item& item) { OnQuarantineWritten(item); });
-  gate_.set_rate_source([this](const std::string& caller_class) { return RateOf(caller_class); });
+  gate_.set_rate_source(
+      [this](const std::string& caller_class) { return LocalRateLimit(caller_class); });
   for (http::ConnectionPool* pool : {&pool_, &order_pool_}) {
     pool->set_on_idle_lost([this](const event::Endpoint& endpoint) {
       if (endpoint == settings_.worker) holder_.OnWorkerConnectionLost();
@@ -158,8 +159,8 @@
   coordinator_.set_on_committed([this] { holder_.OnMapChanged(); });
   coordinator_.set_report_source([this](sharding::LoadReport* report) {
     const Instant now = loop_.Now();
-    holder_.meter().Roll(now - load_rolled_at_);
-    load_rolled_at_ = now;
+    holder_.meter().Roll(now - load_reported_at_);
+    load_reported_at_ = now;
     holder_.meter().Fill(report);
     report->service_seconds = std::chrono::duration<double>(gate_.ServiceTime()).count();
     report->slots = gate_.load().slots;
@@ -195,8 +196,8 @@
               {"service", settings_.worker_service},
               {"incarnation", incarnation_},
               {"first_start", settings_.first_start}});
-  rolled_at_ = loop_.Now();
-  load_rolled_at_ = rolled_at_;
+  last_tick_at_ = loop_.Now();
+  load_reported_at_ = last_tick_at_;
   tick_.Start(kTickInterval);
   configuration_watcher_.Start();
   Announce();
@@ -221,7 +222,7 @@
   }
 }
 
-void Sidecar::OnStoreSilent() {
+void Sidecar::OnStoreUnresponsive() {
   log_.Write(LogLevel::kInfo, "store_connections_silent", {{"store_calls", store_.calls()}});
   store_.CloseIdleConnections();
   lease_.ResendRenewal();
@@ -312,7 +313,7 @@
   gauges.quarantine_trials = quarantine_.trials();
   gauges.log_lines_dropped = log_.dropped();
   gauges.freshness = feed_.FreshnessOfState();
-  gauges.silence_of_others = feed_.SilenceOfOthers();
+  gauges.since_peer_beacon = feed_.SilenceOfOthers();
   http::Headers headers;
   headers.Add("Content-Type", "text/plain; version=0.0.4");
   exchange->Respond(kOk, headers, metrics_.Serialize(gauges));
@@ -363,24 +364,25 @@
       peers_.OnRecord(*record);
       quarantine_.OnWorkerAt(record->node, record->worker_id);
     } else {
-      RefuseItem(item, "no record of this node");
+      LogRefusedItem(item, "no record of this node");
     }
     ingress_.OnShardsChanged();
     return;
   }
   if (const auto key = ShardMapKey::Parse(item.key); key.has_value()) {
-    if (!shard_directory_.OnItem(*key, item)) RefuseItem(item, "no shard map");
+    if (!shard_directory_.OnItem(*key, item)) LogRefusedItem(item, "no shard map");
     if (shard_store_.OnItem(item)) holder_.OnMapChanged();
     ingress_.OnShardsChanged();
     return;
   }
   if (RequestQuarantine::IsItemKey(item.key)) {
-    if (!quarantine_.OnItem(item)) RefuseItem(item, "no record of a worker's end or a quarantine");
+    if (!quarantine_.OnItem(item))
+      LogRefusedItem(item, "no record of a worker's end or a quarantine");
     return;
   }
   if (FormerGrants::IsItemKey(item.key)) return former_grants_.OnItem(item);
   if (MemoryRecord::IsItemKey(item.key)) {
-    if (!memory_.OnItem(item)) RefuseItem(item, "no record of the fleet's memory");
+    if (!memory_.OnItem(item)) LogRefusedItem(item, "no record of the fleet's memory");
     return;
   }
   if (TableOverrides::IsCellKey(item.key)) {
@@ -397,7 +399,7 @@
 }
 
 // Another writer may have put it there. What was known before holds on.
-void Sidecar::RefuseItem(const store::Item& item, const char* reason) {
+void Sidecar::LogRefusedItem(const store::Item& item, const char* reason) {
   log_.Write(LogLevel::kError, "state_item_refused",
              {{"key", item.key},
               {"revision", store::RevisionText(item.revision)},
@@ -448,7 +450,7 @@
   lost_items_.OnWritten(item);
 }
 
-std::optional<double> Sidecar::RateOf(const std::string& caller_class) {
+std::optional<double> Sidecar::LocalRateLimit(const std::string& caller_class) {
   const table::CellValue* cell = table_.Find(settings_.worker_service, caller_class);
   if (cell == nullptr || !cell->limit.has_value()) return std::nullopt;
   const size_t nodes =
@@ -472,7 +474,7 @@
   gate_.SetDraining(state == WorkerState::kDraining,
                     monitor_.draining_since() + settings_.bounds.drain_timeout - kDrainSendMargin);
   holder_.SetWorker(worker, former_gone);
-  holder_.SetLeaving(LeavesKeys());
+  holder_.SetLeaving(ShouldReleaseKeys());
   Announce();
 }
 
@@ -494,12 +496,12 @@
   quarantine_.OnWorkerEnded(worker_id, at_work);
 }
 
-void Sidecar::TellOthers(const std::string& worker_end) {
+void Sidecar::BroadcastWorkerEnd(const std::string& worker_end) {
   std::vector<event::Endpoint> others;
   for (const auto& [node, peer] : peers_.peers()) {
     if (node != settings_.node_name) others.push_back(peer.record.inbound);
   }
-  const size_t writers = std::min(others.size(), kEndWriters);
+  const size_t writers = std::min(others.size(), kWorkerEndWriters);
   for (size_t index = 0; index < others.size(); ++index) {
     // The first ones are drawn among all.
     if (index < writers) {
@@ -509,9 +511,9 @@
     head.method = "POST";
     head.target = "/worker-end";
     peer_protocol::MarkWorkerEnd(/*write=*/index < writers, &head.headers);
-    told_ends_.Start(others[index], http::SerializeRequest(head, worker_end),
-                     http::CallOptions(http::AnswerMatch::InOrder(), "worker_end"), kTellTimeout,
-                     [](const std::optional<http::Response>&) {});
+    worker_end_calls_.Start(others[index], http::SerializeRequest(head, worker_end),
+                            http::CallOptions(http::AnswerMatch::InOrder(), "worker_end"),
+                            kWorkerEndCallTimeout, [](const std::optional<http::Response>&) {});
   }
 }
 
@@ -540,13 +542,13 @@
   // What this node still takes itself, its own worker may run when no other can.
   if (notice.has_value()) notice->takes_requests = notice->ends;
   peers_.OnStopNotice(loop_.Now(), settings_.node_name, notice);
-  if (!holder_.HoldsNothing() && !LeavesKeys()) lease_.RenewNow();
-  holder_.SetLeaving(LeavesKeys());
+  if (!holder_.HoldsNothing() && !ShouldReleaseKeys()) lease_.RenewNow();
+  holder_.SetLeaving(ShouldReleaseKeys());
 }
 
 // A node that stops keeps its keys until the store has answered since: before, they could be handed
 // over to nobody, and released they would be served by nobody.
-bool Sidecar::LeavesKeys() const {
+bool Sidecar::ShouldReleaseKeys() const {
   return monitor_.state() == WorkerState::kDraining || stop_schedule_.BegunBy(lease_.renewed_at());
 }
 
@@ -583,13 +585,13 @@
 
 void Sidecar::OnTick() {
   const Instant now = loop_.Now();
-  const Duration elapsed = now - rolled_at_;
-  rolled_at_ = now;
+  const Duration elapsed = now - last_tick_at_;
+  last_tick_at_ = now;
   tick_.Start(kTickInterval);
   peers_.Sweep(now);
   Announce();
   if (now - traffic_logged_at_ >= kTrafficLogInterval) LogTraffic();
-  if (elapsed > kPauseNoticed) {
+  if (elapsed > kPauseThreshold) {
     log_.Write(LogLevel::kWarning, "paused", {{"elapsed_ms", ToMilliseconds(elapsed)}});
     state_watcher_.Refresh();
     configuration_watcher_.Refresh();
--- a/source/sidecar/sidecar.h
+++ b/source/sidecar/sidecar.h
@@ -89,7 +89,7 @@
   void OnConfigurationItem(const store::Item& item);
   void ApplyLimits(const routes::ClientLimits& limits);
   void OnStateItem(const store::Item& item);
-  void RefuseItem(const store::Item& item, const char* reason);
+  void LogRefusedItem(const store::Item& item, const char* reason);
   void OnStateRemoved(const std::string& key);
   // The store has gone back to an older copy of the state.
   void OnStateEraBegan(const store::EraChange& change);
@@ -101,16 +101,16 @@
   void OnWorkerChanged(bool former_gone);
   void OnWorkerEnded(const std::string& worker_id);
   // Of a worker's end, directly.
-  void TellOthers(const std::string& worker_end);
+  void BroadcastWorkerEnd(const std::string& worker_end);
   // Of the limit of a cell, the part of the worker beside this node; nullopt: no limit.
-  std::optional<double> RateOf(const std::string& caller_class);
+  std::optional<double> LocalRateLimit(const std::string& caller_class);
   void Announce();
   void AnnounceStop();
-  bool LeavesKeys() const;
+  bool ShouldReleaseKeys() const;
   void EndLease();
   void OnStoreRestored(store::StoreEra former, store::StoreEra present);
   // Connections to the store that are open do not bring answers any more.
-  void OnStoreSilent();
+  void OnStoreUnresponsive();
   void OnWatchUnanswered(const store::PrefixWatcher& watcher, const store::UnansweredWatch& watch);
   // Reads the state in the store whole, for the first time or again.
   void ReadState();
@@ -133,7 +133,7 @@
   PeerDirectory peers_;
   ShardDirectory shard_directory_;
   TableOverrides table_;
-  http::CallSet told_ends_;
+  http::CallSet worker_end_calls_;
   RequestQuarantine quarantine_;
   WorkerGate gate_;
   WorkerMonitor monitor_;
@@ -165,8 +165,8 @@
   store::LeaseId confirmed_lease_ = 0;
   store::LeaseId lease_to_confirm_ = 0;
   bool may_have_forgotten_ = false;
-  Instant rolled_at_{};
-  Instant load_rolled_at_{};  // Of the load of the worker's keys.
+  Instant last_tick_at_{};
+  Instant load_reported_at_{};  // Of the load of the worker's keys.
   Instant traffic_logged_at_{};
 };
 
