--- a/source/sidecar/store_probe.h
+++ b/source/sidecar/store_probe.h
@@ -13,33 +13,33 @@
 struct StoreProbeConfig {
   Duration interval = std::chrono::milliseconds(600);
   // Without an answer for this long the connections are taken for silent.
-  Duration patience = std::chrono::milliseconds(300);
+  Duration answer_timeout = std::chrono::milliseconds(300);
   // Between two silences that are told: a slow store would be asked twice all the time.
-  Duration rest = std::chrono::seconds(2);
+  Duration min_report_interval = std::chrono::seconds(2);
 };
 
 class StoreProbe {
  public:
-  // `needed` tells whether this node leads; `on_silent` is called once for each silence. Renewals
-  // of the lease are the probes: they are the cheapest calls.
+  // `needed` tells whether this node leads; `on_unresponsive` is called once for each silence.
+  // Renewals of the lease are the probes: they are the cheapest calls.
   StoreProbe(event::EventLoop& loop, store::LeaseKeeper& lease, std::function<bool()> needed,
-             std::function<void()> on_silent, StoreProbeConfig config = {});
+             std::function<void()> on_unresponsive, StoreProbeConfig config = {});
 
   void Start();
 
  private:
   void Probe();
-  void Judge();
+  void CheckAnswer();
 
   event::EventLoop& loop_;
   store::LeaseKeeper& lease_;
   std::function<bool()> needed_;
-  std::function<void()> on_silent_;
+  std::function<void()> on_unresponsive_;
   StoreProbeConfig config_;
   event::Timer probe_timer_;
-  event::Timer judge_timer_;
-  bool silent_ = false;
-  Instant told_at_{};
+  event::Timer check_timer_;
+  bool unresponsive_ = false;
+  Instant last_report_at_{};
 };
 
 }  // namespace runshelf::sidecar
