--- a/source/sidecar/wire_format.h
+++ b/source/sidecar/wire_format.h
@@ -114,7 +114,7 @@
   // again may state the same one; then `worker_id`, which names one incarnation, is longer.
   virtual std::string_view StatedIdentity(std::string_view worker_id) const = 0;
   // Both are incarnations of one worker, and the first one says that it began before the other.
-  virtual bool BeganBefore(std::string_view worker_id, std::string_view other) const = 0;
+  virtual bool StartedBefore(std::string_view worker_id, std::string_view other) const = 0;
 
   // Id of the request during whose run a worker sent the request with this id; empty when the id
   // does not tell. Whether the worker really runs that request is for the caller to check.
--- a/source/sidecar/worker_monitor.cc
+++ b/source/sidecar/worker_monitor.cc
@@ -205,7 +205,7 @@
     return;
   }
   const std::string worker_id = Resolve(leave.worker_id);
-  if (former_workers_.contains(worker_id) || wire_.BeganBefore(worker_id, worker_id_)) {
+  if (former_workers_.contains(worker_id) || wire_.StartedBefore(worker_id, worker_id_)) {
     Acknowledge(exchange, std::nullopt);
     return;
   }
@@ -224,7 +224,7 @@
 bool WorkerMonitor::IsOfFormerWorker(const WorkerHeartbeat& heartbeat) {
   auto found = former_workers_.find(heartbeat.worker_id);
   if (found == former_workers_.end()) {
-    if (!wire_.BeganBefore(heartbeat.worker_id, worker_id_)) return false;
+    if (!wire_.StartedBefore(heartbeat.worker_id, worker_id_)) return false;
     found = former_workers_.try_emplace(heartbeat.worker_id).first;
   }
   FormerWorker& former = found->second;
--- a/tests/platform_adapter/translation_test.cc
+++ b/tests/platform_adapter/translation_test.cc
@@ -323,12 +323,12 @@
   CHECK(wire.StatedIdentity(first) == "i-1");
   CHECK(wire.StatedIdentity(second) == "i-1");
   CHECK(wire.StatedIdentity("i-1") == "i-1");
-  CHECK(wire.BeganBefore(first, second));
-  CHECK_FALSE(wire.BeganBefore(second, first));
-  CHECK_FALSE(wire.BeganBefore(first, first));
-  CHECK_FALSE(wire.BeganBefore("i-1", second));
-  CHECK_FALSE(wire.BeganBefore(identity("instances.heartbeat", "i-0", HeartbeatWith(R"("born":1)")),
-                               second));
+  CHECK(wire.StartedBefore(first, second));
+  CHECK_FALSE(wire.StartedBefore(second, first));
+  CHECK_FALSE(wire.StartedBefore(first, first));
+  CHECK_FALSE(wire.StartedBefore("i-1", second));
+  CHECK_FALSE(wire.StartedBefore(
+      identity("instances.heartbeat", "i-0", HeartbeatWith(R"("born":1)")), second));
   // An id that looks like an incarnation of another one is none.
   const std::string odd = identity("instances.heartbeat", "i-1@1700", HeartbeatWith(""));
   CHECK(odd != first);
