--- a/source/store/blocking_store.cc
+++ b/source/store/blocking_store.cc
@@ -19,7 +19,7 @@
 
 std::string KeyWithSlash(const std::string& key) { return "/" + key; }
 
-// Starts an operation and runs the loop until its callback was called.
+// Starts an operation and runs the loop until its callback is called.
 template <typename Result>
 Result Await(event::EventLoop& loop,
              const std::function<void(std::function<void(Result)>)>& start) {
@@ -67,7 +67,8 @@
     const std::vector<infrastructure::Condition>& conditions,
     const std::vector<infrastructure::Write>& writes) {
   if (conditions.size() + writes.size() > kMaxTransactionEntries) {
-    return absl::InvalidArgumentError("more entries than a transaction of the store may have");
+    return absl::InvalidArgumentError(
+        "transaction has more conditions and writes than the store allows");
   }
   Transaction transaction;
   for (const infrastructure::Condition& condition : conditions) {
@@ -84,7 +85,7 @@
       loop_, [&](auto callback) { client_.Commit(transaction, std::move(callback)); });
   if (!committed.ok()) return committed.status();
   if (committed->outcome == CommitOutcome::kLeaseEnded) {
-    return absl::UnavailableError("the lease of the record has ended");
+    return absl::UnavailableError("the lease of the record has expired");
   }
   infrastructure::CommitResult result;
   result.succeeded = committed->outcome == CommitOutcome::kCommitted;
@@ -117,7 +118,7 @@
     const std::string&, int64_t,
     const std::function<void(int64_t, const std::vector<infrastructure::WatchEvent>&)>&,
     const std::function<bool()>&) {
-  return absl::UnimplementedError("tools do not watch the store");
+  return absl::UnimplementedError("BlockingStore does not support watches");
 }
 
 }  // namespace runshelf::store
--- a/source/store/blocking_store.h
+++ b/source/store/blocking_store.h
@@ -1,6 +1,8 @@
-// The sidecars' store as the key-value service that the editor of the operators' table works on.
+// Presents the sidecars' store as a KeyValueStore, the interface that the editor of the operators'
+// table uses.
 //
-// For command-line tools: each call runs an event loop of its own until the answer is there.
+// For command-line tools: each call blocks, running the object's own event loop until the response
+// arrives.
 #pragma once
 
 #include <functional>
@@ -13,13 +15,14 @@
 
 namespace runshelf::store {
 
-// The store bounds leases to this time; longer ones are cut to it.
+// Maximum time to live that the store grants; longer requests are reduced to it.
 constexpr Duration kLongestLease = std::chrono::minutes(10);
-// Most conditions, writes and removals of one transaction, taken together.
+// Maximum total number of conditions, writes and removals in one transaction.
 constexpr size_t kMaxTransactionEntries = 32;
 
-// Keys lose a leading slash, so that they lie below the prefix that sidecars watch. The pages of a
-// long range are read one after the other and form no snapshot; each value carries its revision.
+// A leading slash is stripped from keys, so that they lie below the prefix that sidecars watch. The
+// pages of a long range are read one after another and do not form a consistent snapshot; each
+// value carries its own revision.
 class BlockingStore : public infrastructure::KeyValueStore {
  public:
   BlockingStore(StoreCodec& codec, const event::Endpoint& endpoint);
@@ -31,7 +34,7 @@
   absl::StatusOr<int64_t> GrantLease(Duration time_to_live) override;
   absl::Status KeepLeaseAlive(int64_t lease) override;
   absl::Status RevokeLease(int64_t lease) override;
-  // kUnimplemented: sidecars follow the store by PrefixWatcher.
+  // Always returns kUnimplemented; sidecars watch the store with PrefixWatcher.
   absl::Status Watch(
       const std::string& prefix, int64_t start_revision,
       const std::function<void(int64_t revision, const std::vector<infrastructure::WatchEvent>&)>&
--- a/source/store/lease_keeper.cc
+++ b/source/store/lease_keeper.cc
@@ -6,10 +6,10 @@
 namespace runshelf::store {
 namespace {
 
-// The clocks of this machine and the store may differ in rate by one part in this many.
+// The clock rates of this machine and of the store may differ by 1/50 (2 %).
 constexpr int kClockRateDivisor = 50;
-// Timers count whole milliseconds from the start of a turn of the loop, and may fire this much
-// before their time: a renewal must not wait another interval for it.
+// Timers count whole milliseconds from the start of an event loop iteration and may fire this much
+// early; such a renewal must not be postponed by another interval.
 constexpr Duration kTimerRounding = std::chrono::milliseconds(2);
 
 }  // namespace
@@ -94,7 +94,7 @@
   store_.GrantLease(config_.time_to_live, [this, sent](absl::StatusOr<Lease> lease) {
     calling_ = false;
     if (ended_) return;
-    // One that was granted in a former era is gone.
+    // A lease granted in a former era no longer exists.
     if (!lease.ok() || lease->era != store_.era()) return;
     lease_ = lease->id;
     era_ = lease->era;
@@ -134,7 +134,7 @@
   writing_ = true;
   const LeaseId lease = lease_;
   const std::string value = value_;
-  // The condition keeps a write whose answer was lost from being done after a later one.
+  // The condition prevents a write whose response was lost from being applied after a later write.
   Transaction transaction;
   transaction.conditions.push_back({config_.key, item_revision_});
   transaction.puts.push_back({config_.key, value, lease});
@@ -143,7 +143,7 @@
     writing_ = false;
     if (ended_ || generation != generation_) return;
     if (!result.ok()) {
-      // It may have been done, or be done later: the item is not known to hold any value.
+      // The write may have been applied, or may still be: the value of the item is unknown.
       written_value_.clear();
       return;
     }
--- a/source/store/lease_keeper.h
+++ b/source/store/lease_keeper.h
@@ -1,5 +1,5 @@
-// Holds one lease in the store and the items bound to it, and tells until when the lease is
-// certainly in force.
+// Maintains one lease in the store and the item bound to it, and reports until when the lease is
+// guaranteed to be valid.
 #pragma once
 
 #include <functional>
@@ -14,51 +14,52 @@
   Duration time_to_live = std::chrono::seconds(8);
   Duration renewal_interval = std::chrono::seconds(2);
   Duration retry_interval = std::chrono::milliseconds(250);
-  // Values that are set within this time of each other cost one call.
+  // Values set within this time of each other are written with one call.
   Duration coalesce = std::chrono::milliseconds(10);
-  // Subtracted from every bound: the clocks of this machine and the store may differ in rate.
+  // Subtracted from the validity of the lease: the clocks of this machine and of the store may
+  // differ in rate.
   Duration safety_margin = std::chrono::milliseconds(250);
-  std::string key;  // Of the item that announces this process.
+  std::string key;  // Key of the item that announces this process.
 };
 
-// Renews the lease, takes a new one when it is over, and writes the item again whenever its value
-// changes or it went with a lease.
+// Renews the lease, acquires a new one when it has ended, and writes the item again whenever its
+// value changes or the item was removed together with a lease.
 class LeaseKeeper {
  public:
   LeaseKeeper(event::EventLoop& loop, StoreClient& store, LeaseKeeperConfig config);
 
   void Start();
-  // Renews the lease before it is due, to learn whether the store answers; not more often than
-  // failed calls are repeated.
+  // Renews the lease before the renewal is due, to check whether the store responds; at most once
+  // per `retry_interval`.
   void RenewNow();
-  // Renews once more while the answer to a renewal is awaited, which may never come.
+  // Sends another renewal if one is still unanswered, as its response may be lost.
   void ResendRenewal();
-  // For which the answer to a renewal is awaited now; zero when none is.
+  // How long the pending renewal has been unanswered; zero if none is pending.
   Duration RenewalPendingFor() const;
-  // Ends the lease: its item goes at once.
+  // Revokes the lease; the store removes its item immediately.
   void End();
-  // The store came back from an older copy of its data: the lease may be gone, and its id
-  // another's.
+  // To be called when the store was restored from a backup: the lease may be gone, and its id may
+  // belong to another lease.
   void OnStoreRestored();
-  // The value of the item; written as soon as a lease is held.
+  // Sets the value of the item, which is written as soon as a lease is held.
   void SetValue(const std::string& value);
-  // A new lease was taken and its item is written: what depended on an earlier one must be read
-  // again before it is relied on.
+  // Called when a new lease was acquired and its item is written. State that depended on an earlier
+  // lease must be read again before it is relied on.
   void set_on_new_lease(std::function<void()> callback) { on_new_lease_ = std::move(callback); }
 
-  // The lease is in force at least until then: counted from before the last renewal was sent.
-  // Instant{} when there is none.
+  // The lease is valid at least until this time, counted from the sending of the last successful
+  // renewal. Instant{} if there is no lease.
   Instant ValidUntil() const { return valid_until_; }
-  // The same for a lease of this process that was granted in `era` of the store. The one of the era
-  // before runs on as far as this process alone is concerned.
+  // The same for the lease of this process that was granted in `era` of the store. After a restore
+  // the lease of the former era still counts, for this process only, until it would have expired.
   Instant ValidUntilIn(StoreEra era) const;
   LeaseId lease() const { return lease_; }
-  // When the latest call that the store granted or renewed the lease for was sent.
+  // When the latest successful grant or renewal was sent.
   Instant renewed_at() const { return renewed_at_; }
-  // Holds while the item is the one that this process wrote last: another process with the same
-  // key, an earlier or a later life of this one, has not written since.
+  // Satisfied while the item is the one this process wrote last, that is, while no other process
+  // with the same key, such as an earlier or a later run of this node, has written it since.
   Condition ItemUnchanged() const { return {config_.key, item_revision_}; }
-  // The item with the value set last is in the store under the lease in force.
+  // The store holds the latest value of the item under the current lease.
   bool announced() const {
     return lease_ != 0 && written_value_ == value_ && written_lease_ == lease_;
   }
@@ -78,16 +79,16 @@
   event::Timer write_timer_;
   std::function<void()> on_new_lease_;
   LeaseId lease_ = 0;
-  uint64_t generation_ =
-      0;              // Of the lease: ids may come again. Answers of earlier ones are ignored.
-  StoreEra era_ = 0;  // Of the lease held last.
+  // Counts leases, as the store may reuse ids. Responses to calls of earlier leases are ignored.
+  uint64_t generation_ = 0;
+  StoreEra era_ = 0;  // Era of the latest lease.
   StoreEra former_era_ = 0;
-  Instant former_valid_until_{};  // Of the lease of that era.
+  Instant former_valid_until_{};  // Validity of the lease of `former_era_`.
   LeaseId written_lease_ = 0;
   std::string value_;
   std::string written_value_;
-  Revision item_revision_ = 0;  // Zero while the item is believed absent.
-  Duration time_to_live_{0};    // As the store granted it.
+  Revision item_revision_ = 0;  // Zero while the item is assumed not to exist.
+  Duration time_to_live_{0};    // As granted by the store.
   Instant valid_until_{};
   Instant renewed_at_{};
   Instant renewal_sent_at_{};
--- a/source/store/prefix_watcher.cc
+++ b/source/store/prefix_watcher.cc
@@ -7,7 +7,7 @@
 namespace runshelf::store {
 namespace {
 
-// Answers of others that leave something missing, before the range is read.
+// Consecutive peer responses without all missing changes after which the range is read.
 constexpr int kMaxIncompleteAnswers = 3;
 
 }  // namespace
@@ -60,8 +60,9 @@
     RetryLater(/*read_again=*/true);
     return;
   }
-  // Pages are no snapshot: what changes between them comes again by the watch, which starts from
-  // the revision of the first page. The store may come back from an older copy between two.
+  // Pages do not form a snapshot: changes made between them arrive again through the watch, which
+  // starts from the revision of the first page. The store may be restored from a backup between two
+  // pages.
   if (read_revision_ == 0) read_revision_ = page->revision;
   if (EraOf(page->revision) != EraOf(read_revision_)) {
     Refresh();
@@ -87,7 +88,7 @@
   changes.from = change_revision_;
   changes.events = ApplySnapshot(std::exchange(reading_, {}), read_revision_);
   changes.to = change_revision_;
-  // Others may have had changes of the former era that this process had not.
+  // Other processes may have changes of the former era that this process never received.
   const bool era_began = EraOf(changes.from) != EraOf(changes.to);
   if (era_began && !changes.events.empty()) changes = Snapshot();
   if (observer_.on_synchronized) observer_.on_synchronized();
@@ -141,7 +142,7 @@
     ++generation_;
     watching_ = false;
   } else {
-    // Whoever passed changes on may have ended in the middle.
+    // The process that forwarded changes may have stopped before sending all of them.
     ContinueWatching();
   }
 }
@@ -156,7 +157,7 @@
   schedule_.Restart();
   if (following_ || !watching_ || short_watch_) return;
   watching_ = false;
-  // Its failure later on would say nothing of the connections of that time.
+  // A failure of the old watch later would say nothing about the connections of that time.
   store_.CancelWatch(watch_);
   WatchNext();
 }
@@ -200,7 +201,7 @@
     incomplete_answers_ = 0;
     return;
   }
-  // The other one may be behind by a moment itself, while many changes come.
+  // The peer may itself be slightly behind while there are many changes.
   const bool needs_read = !answered || ++incomplete_answers_ >= kMaxIncompleteAnswers;
   if (!needs_read || stopped_ || reading_range_) return;
   incomplete_answers_ = 0;
@@ -209,7 +210,7 @@
 
 void PrefixWatcher::WatchNext() {
   if (stopped_) return;
-  // The store cannot tell what has changed since a revision of a former era.
+  // The store cannot report changes since a revision of a former era.
   if (EraOf(revision_) < store_.era()) {
     Refresh();
     return;
@@ -238,7 +239,7 @@
   }
   retry_delay_ = Duration(0);
   schedule_.OnAnswered();
-  // The watch was asked for in one era and answered in the next.
+  // The watch was sent in one era and answered in a later one.
   if (EraOf(page->revision) > EraOf(revision_)) {
     Refresh();
     return;
@@ -275,7 +276,7 @@
   if (ask_again) {
     WatchNext();
   } else {
-    // After a cut the history may be incomplete for this process: a whole read settles it.
+    // Changes may have been lost with the watch; a read of the whole range restores the copy.
     RetryLater(/*read_again=*/true);
   }
 }
--- a/source/store/prefix_watcher.h
+++ b/source/store/prefix_watcher.h
@@ -1,4 +1,4 @@
-// Keeps a copy of all items below one prefix of the store, and tells what changes.
+// Maintains a local copy of all items below one key prefix of the store and reports its changes.
 #pragma once
 
 #include <functional>
@@ -13,8 +13,8 @@
 
 namespace runshelf::store {
 
-// How often a watcher may ask for changes while there are many: `burst` calls at once, then one in
-// each `interval`, which brings all changes of that time.
+// Rate limit for watch calls while there are many changes: `burst` calls at once, then one per
+// `interval`, which returns all changes of that time.
 struct WatchPace {
   Duration interval = std::chrono::milliseconds(100);
   int burst = 5;
@@ -22,52 +22,52 @@
 
 struct PrefixWatcherConfig {
   std::string prefix;
-  // Events that come within this time of each other cost one call.
+  // Changes that arrive within this time of each other are fetched with one call.
   Duration coalesce = std::chrono::milliseconds(20);
   WatchPace pace;
-  // Between reads that fail. RetryNow ends the wait, so that it may be long: each read of a store
-  // that is away is priced too.
+  // Backoff between failed reads. It may be long because RetryNow ends it, and because reads of an
+  // unreachable store are billed too.
   Duration retry_min = std::chrono::milliseconds(100);
   Duration retry_max = std::chrono::seconds(3);
 };
 
-// Changes of a prefix, as one process passes them on to others.
+// Changes below a prefix, as forwarded from one process to others.
 struct ChangeSet {
-  // The events are all items of the prefix as of `to`; what is not among them is gone.
+  // The events contain all items of the prefix as of `to`; other items no longer exist.
   bool complete = false;
-  Revision from = 0;  // Changes up to this revision must be included already, unless complete.
-  Revision to = 0;    // The copy is complete up to this revision afterwards.
+  Revision from = 0;  // Unless complete, the receiver's copy must include changes up to here.
+  Revision to = 0;    // Revision up to which the copy is complete afterwards.
   std::vector<WatchEvent> events;
 };
 
-// What was known of a prefix when the store came back from an older copy, and what it has since.
+// Items of a prefix as known before the store was restored from a backup, and as read afterwards.
 struct EraChange {
   const std::map<std::string, Item>& former;
   const std::map<std::string, Item>& present;
-  Revision revision = 0;  // At which `present` was read.
+  Revision revision = 0;  // Revision at which `present` was read.
 };
 
-// A watch that the store did not answer within the time that it was given.
+// A watch that the store did not answer before its timeout.
 struct UnansweredWatch {
   Revision after = 0;
   Duration waited{0};
-  bool asked_again = false;  // From the same revision; otherwise the range is read.
+  bool asked_again = false;  // The watch is sent again from `after`; otherwise the range is read.
 };
 
-// Reads the range once, then watches from its revision on, or follows what another process passes
-// on; reads the range again whenever something may be missing, as when the store comes back from an
-// older copy of its data. The copy never goes back to an older revision of an item.
+// Reads the range once, then either watches the store from that revision or follows the changes
+// that another process forwards. Reads the range again whenever changes may be missing, for example
+// after the store was restored from a backup. An item is never replaced by an older revision.
 class PrefixWatcher {
  public:
   struct Observer {
-    std::function<void(const Item&)> on_item;                // Written, or first seen.
-    std::function<void(const std::string& key)> on_removed;  // Known before, and gone.
-    std::function<void()> on_synchronized;                   // A whole read was applied.
-    // A batch of changes came from the store, to be passed on.
+    std::function<void(const Item&)> on_item;  // Item written or seen for the first time.
+    std::function<void(const std::string& key)> on_removed;  // A known item was removed.
+    std::function<void()> on_synchronized;  // A read of the whole range was applied.
+    // A batch of changes arrived from the store and can be forwarded to other processes.
     std::function<void(const ChangeSet&)> on_changes;
-    // Called before the first changes of a new era are applied.
+    // A new era began; called before its first changes are applied.
     std::function<void(const EraChange&)> on_era_began = nullptr;
-    // A watch got no answer.
+    // A watch got no response.
     std::function<void(const UnansweredWatch&)> on_watch_unanswered = nullptr;
   };
 
@@ -76,31 +76,31 @@
 
   void Start();
   void Stop();
-  // Reads the whole range again, for example after this process was stopped for long.
+  // Reads the whole range again, for example after this process was suspended for a long time.
   void Refresh();
-  // The store answers again: what waits for its next try is tried now.
+  // Ends the current backoff; to be called when the store responds again.
   void RetryNow();
-  // Applies from the next batch of changes on.
+  // Takes effect from the next batch of changes.
   void set_pace(const WatchPace& pace) { config_.pace = pace; }
-  // While confirming, a lost watch is noticed soon, at the price of some more calls after changes;
-  // see WatchSchedule.
+  // While confirming, the loss of a watch right after a change is detected soon, at the cost of
+  // additional calls after changes; see WatchSchedule.
   void SetConfirming(bool confirming);
-  // Asks for changes again, since the watch that waits may never be answered; not when that is
-  // noticed soon.
+  // Replaces the pending watch with a new one, as it may never be answered. A pending short watch
+  // is kept, because its loss is detected soon anyway.
   void RestartWatch();
-  // While following, no watch is held at the store: changes come by Apply.
+  // While following, no watch is pending at the store; changes arrive through ApplyChanges.
   void SetFollowing(bool following);
   bool following() const { return following_; }
-  // Takes over changes that another process passed on; reads the range when some are missing.
+  // Applies changes forwarded by another process; calls CatchUp if earlier ones are missing.
   void ApplyChanges(const ChangeSet& changes);
-  // The whole copy, for passing it on.
+  // The whole copy, to be forwarded to other processes.
   ChangeSet Snapshot() const;
-  // Another process has the copy complete up to `revision`, and this one has not: asks for what is
-  // missing, or reads the range. A read of the store that waits for its next try is no reason to
-  // wait: the other one may be reached while the store is not.
+  // To be called when another process has a copy complete up to `revision`. If this copy is behind,
+  // fetches the copy of a peer, or reads the range if there is no peer to fetch from. A read of the
+  // store in backoff does not delay the fetch: a peer may be reachable while the store is not.
   void CatchUp(Revision revision);
-  // Asks another process for its copy, which comes by ApplyChanges; `done` is called after it, or
-  // with false when none came. Without it the range is read.
+  // Fetches the copy of another process, which arrives through ApplyChanges; `done` is called
+  // afterwards, with false if no copy arrived. If not set, the range is read instead.
   using FetchFromPeer = std::function<void(std::function<void(bool answered)> done)>;
   void set_fetch_from_peer(FetchFromPeer fetch_from_peer) {
     fetch_from_peer_ = std::move(fetch_from_peer);
@@ -108,24 +108,24 @@
   const std::string& prefix() const { return config_.prefix; }
   // The copy includes all changes up to `revision`.
   bool CompleteTo(Revision revision) const { return revision <= revision_; }
-  // The copy is complete up to here.
+  // Revision up to which the copy is complete.
   Revision revision() const { return revision_; }
-  // Of the latest change that the copy includes, as far as is known.
+  // Revision of the latest known change that the copy includes.
   Revision change_revision() const { return change_revision_; }
   bool started() const { return !stopped_; }
-  // True once the range was read whole.
+  // True once the whole range has been read.
   bool synchronized() const { return synchronized_; }
   const std::map<std::string, Item>& items() const { return items_; }
-  // Items that came with a lower revision than the copy has, and were dropped.
+  // Number of items dropped because the copy already had a higher revision of them.
   uint64_t stale_items() const { return stale_items_; }
-  // Watches that the store refused since it has no history from their revision on.
+  // Number of watches refused because the store no longer has the history since their revision.
   uint64_t lost_histories() const { return lost_histories_; }
 
  private:
   void ReadPage(uint64_t generation, const std::string& after_key);
   void OnPage(uint64_t generation, absl::StatusOr<RangePage> page);
   void FinishRead();
-  // Makes the copy equal to `items`, which are all items as of `revision`; returns what changed.
+  // Updates the copy to `items`, which are all items as of `revision`; returns the changes.
   std::vector<WatchEvent> ApplySnapshot(const std::map<std::string, Item>& items,
                                         Revision revision);
   void WatchNext();
@@ -137,9 +137,9 @@
   void ApplyItem(const Item& item);
   void ApplyRemoval(const std::string& key, Revision revision);
   void RetryLater(bool read_again);
-  // A read failed, and its next try is not due yet.
+  // A read of the range failed, and its retry is not due yet.
   bool ReadRetryPending() const { return reading_range_ && timer_.active(); }
-  // How long to wait for further changes after a batch has come.
+  // How long to wait before the next watch after a batch of changes arrived.
   Duration WaitAfterChanges();
 
   event::EventLoop& loop_;
@@ -148,27 +148,28 @@
   Observer observer_;
   event::Timer timer_;
   std::map<std::string, Item> items_;
-  std::map<std::string, Item> reading_;  // Items of the read under way.
-  Revision revision_ = 0;                // The copy is complete up to here.
-  Revision change_revision_ = 0;         // Nothing has changed between this one and `revision_`.
+  std::map<std::string, Item> reading_;  // Items of the read in progress.
+  Revision revision_ = 0;                // Revision up to which the copy is complete.
+  Revision change_revision_ = 0;         // No changes between this revision and `revision_`.
   Revision read_revision_ = 0;
   Duration retry_delay_{0};
-  Instant paced_until_{};    // When the pace would have allowed all calls so far, one by one.
-  uint64_t generation_ = 0;  // Answers to calls of earlier generations are ignored.
+  Instant paced_until_{};    // When the calls so far would have been sent at one per pace interval.
+  uint64_t generation_ = 0;  // Responses to calls of earlier generations are ignored.
   bool synchronized_ = false;
   bool reading_range_ = false;
-  bool watching_ = false;  // A watch waits at the store.
+  bool watching_ = false;  // A watch is pending at the store.
   StoreClient::WatchId watch_ = 0;
   Instant watch_sent_at_{};
   bool following_ = false;
   WatchSchedule schedule_;
-  bool short_watch_ = false;  // The loss of the watch that waits is noticed soon.
+  bool short_watch_ = false;  // The pending watch is a short one; see WatchSchedule.
   bool read_next_ = true;
   bool stopped_ = true;
   FetchFromPeer fetch_from_peer_;
-  bool fetching_from_peer_ = false;  // Another process, for its copy.
-  int incomplete_answers_ = 0;  // Times in a row that an answer did not bring all that was missing.
-  Revision wanted_revision_ = 0;  // What it was asked for.
+  bool fetching_from_peer_ = false;  // A fetch of a peer's copy is in progress.
+  // Consecutive fetches after which the copy was still behind `wanted_revision_`.
+  int incomplete_answers_ = 0;
+  Revision wanted_revision_ = 0;  // Highest revision passed to CatchUp.
   uint64_t stale_items_ = 0;
   uint64_t lost_histories_ = 0;
 };
--- a/source/store/store_client.cc
+++ b/source/store/store_client.cc
@@ -27,7 +27,7 @@
 
 void JoinWithEra(StoreEra era, Lease* lease) { lease->era = era; }
 
-// What the codec decoded, with the era in which the store said it.
+// Adds the era of the response to the decoded revisions.
 template <typename Result>
 absl::StatusOr<Result> InEra(StoreEra era, absl::StatusOr<Result> decoded) {
   if (decoded.ok()) JoinWithEra(era, &*decoded);
@@ -38,10 +38,10 @@
 constexpr int kServiceUnavailable = 503;
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(500);
 constexpr Duration kIdleTimeout = std::chrono::seconds(8);
-// Well below the time after which the answer to a short watch is missed.
+// Well below the timeout of a short watch.
 constexpr Duration kPromptAnswer = std::chrono::milliseconds(150);
 
-// The service did nothing and may serve others, or this process on another way.
+// The store did not execute the request, and may serve it on another path.
 bool IsRefusal(const http::Response& response) {
   return response.status == kTooManyRequests || response.status == kServiceUnavailable;
 }
@@ -55,7 +55,7 @@
   Instant sent_directly_at{};
   bool tried_direct = false;
   bool tried_relay = false;
-  bool may_have_executed = false;  // Some way gave no answer.
+  bool may_have_executed = false;  // A path gave no response.
   std::optional<http::Response> refusal;
 };
 
@@ -81,7 +81,7 @@
         if (response.has_value()) {
           UpdateEra(*response);
         } else {
-          // Others that are open may have fallen silent with this one.
+          // Other open connections may have failed together with this one.
           pool_.CloseIdle(endpoint);
         }
         callback(std::move(response));
@@ -90,7 +90,7 @@
 
 void StoreClient::UpdateEra(const http::Response& response) {
   const std::optional<StoreEra> era = codec_.DecodeEra(response);
-  // An answer of an earlier era may have been held up.
+  // A response of an earlier era may arrive late.
   if (!era.has_value() || (era_.has_value() && *era <= *era_)) return;
   const std::optional<StoreEra> former = std::exchange(era_, era);
   era_since_ = loop_.Now();
@@ -200,7 +200,7 @@
 
 void StoreClient::OnDirectFailed(const PendingCall& call) {
   const bool works = avoid_direct_until_ == Instant{};
-  // Only its connection had fallen silent when the store has answered a call made later.
+  // If the store has answered a call that was sent later, only this call's connection failed.
   const bool only_connection =
       !call.refusal.has_value() && answered_call_sent_at_ > call.sent_directly_at;
   if (!only_connection) avoid_direct_until_ = loop_.Now() + config_.avoid_direct;
@@ -236,7 +236,8 @@
   return Watch(prefix, after, {config_.watch_wait, config_.call_timeout}, std::move(callback));
 }
 
-// A watch goes one way only: when it is cut the range is read again, which finds a way of its own.
+// A watch is sent on one path only: if it fails, the range is read again, and that call chooses its
+// own path.
 StoreClient::WatchId StoreClient::Watch(const std::string& prefix, Revision after,
                                         const WatchTimes& times,
                                         std::function<void(absl::StatusOr<WatchPage>)> callback) {
@@ -252,7 +253,7 @@
       [this, callback = std::move(callback)](const std::optional<http::Response>& response) {
         callback(response.has_value()
                      ? InEra(EraOfAnswer(*response), codec_.DecodeWatch(*response))
-                     : absl::StatusOr<WatchPage>(absl::UnknownError("the watch was cut")));
+                     : absl::StatusOr<WatchPage>(absl::UnknownError("no response to the watch")));
       });
 }
 
--- a/source/store/store_client.h
+++ b/source/store/store_client.h
@@ -1,5 +1,5 @@
-// Carries the calls of one process to the store: directly, or through a peer while the direct way
-// fails.
+// Sends the calls of one process to the store, either directly or, while the direct path fails,
+// through a peer.
 #pragma once
 
 #include <functional>
@@ -14,13 +14,13 @@
 
 namespace runshelf::store {
 
-// Chooses peers that pass calls on to the store, and marks the requests that ask them to.
+// Chooses peers that forward calls to the store, and marks the requests to be forwarded.
 class StoreRelay {
  public:
   virtual ~StoreRelay() = default;
-  // A peer that answered lately; nullopt when none is known.
+  // A peer that answered recently; nullopt if none is known.
   virtual std::optional<event::Endpoint> ChoosePeer() = 0;
-  // Marks `request` as one that the peer hands to the store.
+  // Marks `request` as one that the peer is to forward to the store.
   virtual void MarkForRelay(http::Request* request) = 0;
 };
 
@@ -28,24 +28,25 @@
   event::Endpoint endpoint;
   Duration call_timeout = std::chrono::milliseconds(900);
   Duration watch_wait = std::chrono::seconds(25);
-  // Watches that go through a peer are short: the peer may go away without a word.
+  // Watches through a peer are short, because the peer may disappear without closing them.
   Duration relayed_watch_wait = std::chrono::seconds(2);
-  // How long calls go to a peer first after the direct way has failed.
+  // How long calls are sent to a peer first after the direct path has failed.
   Duration avoid_direct = std::chrono::seconds(2);
 };
 
-// Calls by what they ask for, those that were sent again by another way included.
+// Number of calls by operation, including those that were sent again on another path.
 struct StoreCallCounts {
-  uint64_t reads = 0;  // Of a range, page by page.
+  uint64_t reads = 0;  // Pages of ranges.
   uint64_t watches = 0;
   uint64_t transactions = 0;
-  uint64_t leases = 0;  // Taken or ended.
+  uint64_t leases = 0;  // Granted or revoked.
   uint64_t renewals = 0;
-  uint64_t forwarded_for_peers = 0;  // Of peers.
+  uint64_t forwarded_for_peers = 0;  // Calls of peers, forwarded to the store.
 };
 
-// Status codes of answers: those of StoreCodec, and kUnknown when no answer came, so that a write
-// may have been done or may still be done later. Callbacks are never made inside the call itself.
+// Results carry the status codes of StoreCodec, and kUnknown if no response arrived: a write may
+// have been executed or may still be executed later. Except in ForwardForPeer, callbacks are never
+// invoked from within the call itself.
 class StoreClient {
  public:
   StoreClient(event::EventLoop& loop, http::ConnectionPool& pool, StoreCodec& codec,
@@ -55,53 +56,55 @@
   StoreClient& operator=(const StoreClient&) = delete;
 
   void set_relay(StoreRelay* relay) { relay_ = relay; }
-  // Called when the direct way begins to fail: watches that wait on it may never hear anything.
+  // Called when the direct path begins to fail: watches pending on it may never be answered.
   void set_on_direct_lost(std::function<void()> callback) { on_direct_lost_ = std::move(callback); }
-  // Called when the store is lost (false) or reached again (true).
+  // Called when the store becomes unreachable (false) or reachable again (true).
   void set_on_reachable_changed(std::function<void(bool)> callback) {
     on_reachable_changed_ = std::move(callback);
   }
-  // Called when an answer tells that the store came back from an older copy of its data, before
-  // the callback of that call.
+  // Called when a response shows that the store was restored from a backup, before the callback of
+  // that call.
   void set_on_restored(std::function<void(StoreEra former, StoreEra present)> callback) {
     on_restored_ = std::move(callback);
   }
 
   void Range(const std::string& prefix, const std::string& after_key,
              std::function<void(absl::StatusOr<RangePage>)> callback);
-  // Tells watches under way apart.
+  // Identifies a pending watch.
   using WatchId = uint64_t;
   WatchId Watch(const std::string& prefix, Revision after,
                 std::function<void(absl::StatusOr<WatchPage>)> callback);
-  // The same with a wait of its own, where that is shorter.
+  // The same with `times`; a wait longer than the configured one is reduced to it.
   WatchId Watch(const std::string& prefix, Revision after, const WatchTimes& times,
                 std::function<void(absl::StatusOr<WatchPage>)> callback);
-  // Its callback is not made, and its connection is closed; not from that callback.
+  // Closes the connection of the watch without invoking its callback. Must not be called from that
+  // callback.
   void CancelWatch(WatchId watch) { active_.Cancel(watch); }
   void Commit(const Transaction& transaction,
               std::function<void(absl::StatusOr<CommitResult>)> callback);
   void GrantLease(Duration time_to_live, std::function<void(absl::StatusOr<Lease>)> callback);
   void KeepLease(LeaseId lease, std::function<void(absl::Status)> callback);
-  // Fire and forget.
+  // Revokes the lease; the response is ignored.
   void EndLease(LeaseId lease);
 
-  // Passes a request of a peer on, directly only; nullopt when no answer came. While the direct way
-  // fails here too, it is refused at once, inside the call, and nothing was done.
+  // Forwards a request of a peer on the direct path only; nullopt if no response arrived. While the
+  // direct path fails here too, the request is refused with status 503 without being sent, and the
+  // callback is invoked from within the call.
   void ForwardForPeer(const http::Request& request, Duration timeout,
                       std::function<void(std::optional<http::Response>)> callback);
 
-  // Connections that are open may have fallen silent: later calls are made on new ones.
+  // Open connections may be dead: later calls use new ones.
   void CloseIdleConnections() { pool_.CloseIdle(config_.endpoint); }
   bool reachable() const { return reachable_; }
-  // The latest call that was sent to the store directly and answered had its answer soon.
+  // The store answered promptly the latest direct call that it answered.
   bool answers_promptly() const { return answers_promptly_; }
-  // The store answered the latest call that was sent to it directly.
+  // The store answered the latest direct call.
   bool direct_path_works() const { return avoid_direct_until_ == Instant{}; }
-  // The latest that an answer told of; zero before.
+  // Latest era reported by a response; zero before the first one.
   StoreEra era() const { return era_.value_or(0); }
-  // When this process first knew of the present era.
+  // When this process first learned of the current era.
   Instant era_since() const { return era_since_; }
-  // The present era began since this process started.
+  // The current era began after this process had started.
   bool restored() const { return restored_; }
   uint64_t calls() const { return call_count_; }
   const StoreCallCounts& call_counts() const { return counts_; }
@@ -111,7 +114,7 @@
   enum class Path { kDirect, kRelayed };
   struct PendingCall;
 
-  // `count`: the kind of the call in `counts_`.
+  // `count`: counter of the operation in `counts_`.
   void Call(uint64_t* count, http::Request request, ResponseCallback callback);
   void OnDirectFailed(const PendingCall& call);
   void Send(const std::shared_ptr<PendingCall>& call, Path path);
@@ -122,9 +125,10 @@
                  std::function<void(std::optional<http::Response>)> callback);
   void SetReachable(bool reachable);
   void UpdateEra(const http::Response& response);
-  // In which the store gave the answer, as far as is known.
+  // Era in which the store sent the response; the latest known era if the response does not tell.
   StoreEra EraOfAnswer(const http::Response& response) const;
-  // The transaction as the store understands it. A condition from another era holds for no item.
+  // Replaces revisions with the store's own counters. A condition from another era is never
+  // satisfied.
   Transaction WithCounters(Transaction transaction) const;
 
   event::EventLoop& loop_;
@@ -142,8 +146,8 @@
   uint64_t call_count_ = 0;
   StoreCallCounts counts_;
   Instant avoid_direct_until_{};
-  Instant direct_loss_reported_at_{};  // When that was told last.
-  Instant answered_call_sent_at_{};    // Of the calls that the store answered directly, the latest.
+  Instant direct_loss_reported_at_{};  // When `on_direct_lost_` was last called.
+  Instant answered_call_sent_at_{};    // Sending time of the latest answered direct call.
   bool reachable_ = true;
   bool answers_promptly_ = true;
 };
--- a/source/store/store_operations.h
+++ b/source/store/store_operations.h
@@ -1,7 +1,8 @@
-// What a sidecar asks of the store that keeps its shared state, and what it is told.
+// Operations of the key-value store that holds the state shared by the sidecars, and their results.
 //
-// The store offers compare-and-swap over several keys, leases whose end removes their keys, and
-// watches of a prefix. A StoreCodec translates these operations into the requests of one service.
+// The store offers compare-and-swap transactions over several keys, leases whose expiry removes the
+// keys bound to them, and watches of a key prefix. A StoreCodec translates these operations into
+// the HTTP requests of one store service.
 #pragma once
 
 #include <absl/status/status.h>
@@ -17,11 +18,12 @@
 
 namespace runshelf::store {
 
-using LeaseId = int64_t;   // Zero stands for "no lease".
-using StoreEra = int64_t;  // Rises each time the store comes back from an older copy of its data.
+using LeaseId = int64_t;   // Zero: no lease.
+using StoreEra = int64_t;  // Increases each time the store is restored from a backup of its data.
 
-// Orders all changes of the store: by era, and within one by the store's own counter, which goes
-// back when an era begins. Zero stands for "absent". Made by MakeRevision only.
+// Totally orders the changes of the store: first by era, then by the store's own counter, which
+// restarts from a lower value in a new era. Zero: the item does not exist. Create values with
+// MakeRevision only.
 using Revision = int64_t;
 
 constexpr int kRevisionCounterBits = 40;
@@ -32,34 +34,35 @@
 }
 constexpr StoreEra EraOf(Revision revision) { return revision >> kRevisionCounterBits; }
 constexpr int64_t CounterOf(Revision revision) { return revision & kRevisionCounterMax; }
-// For logs and people: "ERA.COUNTER", without the era where the store tells none.
+// Human-readable form for logs: "ERA.COUNTER", or "COUNTER" when the store does not report an era.
 std::string RevisionText(Revision revision);
 
 struct Item {
   std::string key;
   std::string value;
-  Revision revision = 0;  // Of its last change.
+  Revision revision = 0;  // Revision of the last change.
   LeaseId lease = 0;
 };
 
-// One page of the items below a prefix, ascending by key.
+// One page of the items below a prefix, in ascending key order.
 struct RangePage {
   std::vector<Item> items;
-  bool more = false;      // Another page follows the last key.
-  Revision revision = 0;  // Of the store when the page was read.
+  bool more = false;      // More items follow the last key of this page.
+  Revision revision = 0;  // Revision of the store when the page was read.
 };
 
 struct WatchEvent {
-  Item item;  // Of a removed item only the key and the revision are set.
+  Item item;  // For a removed item, only the key and the revision are set.
   bool removed = false;
 };
 
 struct WatchPage {
-  std::vector<WatchEvent> events;  // In the order of their revisions.
-  Revision revision = 0;           // To watch on from.
+  std::vector<WatchEvent> events;  // In ascending revision order.
+  Revision revision = 0;           // Revision to continue the watch from.
 };
 
-// Holds when the key's last change has this revision; zero: when the key does not exist.
+// Satisfied when the last change of the key has this revision; with revision zero, when the key
+// does not exist.
 struct Condition {
   std::string key;
   Revision revision = 0;
@@ -71,7 +74,7 @@
   LeaseId lease = 0;
 };
 
-// Performed whole when every condition holds, and not at all otherwise.
+// Applied atomically if every condition is satisfied; otherwise has no effect.
 struct Transaction {
   std::vector<Condition> conditions;
   std::vector<Put> puts;
@@ -80,28 +83,28 @@
 
 enum class CommitOutcome {
   kCommitted,
-  kConflict,    // A condition did not hold; nothing was done.
-  kLeaseEnded,  // A put names a lease that is over; nothing was done.
+  kConflict,    // A condition was not satisfied; nothing was changed.
+  kLeaseEnded,  // A put names a lease that has expired or was revoked; nothing was changed.
 };
 
 struct CommitResult {
   CommitOutcome outcome = CommitOutcome::kConflict;
-  Revision revision = 0;    // Of the change, when it was committed.
-  std::vector<Item> found;  // On a conflict: the items of the conditions as they are; absent ones
-                            // are left out.
+  Revision revision = 0;    // Revision of the change, if it was committed.
+  std::vector<Item> found;  // On a conflict: existing items with the keys of the conditions.
 };
 
 struct Lease {
   LeaseId id = 0;
-  StoreEra era = 0;  // In which it was granted; in a later one the id may be another's.
+  StoreEra era = 0;  // Era of the grant; in a later era the id may belong to another lease.
   Duration time_to_live{0};
 };
 
-// Translates operations into HTTP requests and answers back. Free of input and output. Revisions
-// are the store's own counters here; StoreClient joins them with the era.
+// Encodes store operations as HTTP requests and decodes the responses; performs no I/O. Revisions
+// are the store's own counters here; StoreClient combines them with the era.
 //
-// Decoders return: kUnavailable or kResourceExhausted when the store refused and nothing was done;
-// kNotFound and kOutOfRange as said below; kInternal for an answer that makes no sense.
+// Decoders return kUnavailable or kResourceExhausted when the store refused the request without
+// executing it, kNotFound and kOutOfRange as described at the methods, and kInternal for a
+// malformed response.
 class StoreCodec {
  public:
   virtual ~StoreCodec() = default;
@@ -110,7 +113,8 @@
   virtual absl::StatusOr<RangePage> DecodeRange(const http::Response& response) = 0;
 
   virtual http::Request EncodeWatch(const std::string& prefix, Revision after, Duration wait) = 0;
-  // kOutOfRange: the history since that revision is gone, so the range must be read again.
+  // kOutOfRange: the store no longer has the history since that revision, so the range must be read
+  // again.
   virtual absl::StatusOr<WatchPage> DecodeWatch(const http::Response& response) = 0;
 
   virtual http::Request EncodeTransaction(const Transaction& transaction) = 0;
@@ -120,12 +124,12 @@
   virtual absl::StatusOr<Lease> DecodeGrantLease(const http::Response& response) = 0;
 
   virtual http::Request EncodeKeepLease(LeaseId lease) = 0;
-  // kNotFound: the lease is over.
+  // kNotFound: the lease has expired or was revoked.
   virtual absl::Status DecodeKeepLease(const http::Response& response) = 0;
 
   virtual http::Request EncodeEndLease(LeaseId lease) = 0;
 
-  // The era in which the store gave an answer; nullopt when the answer does not tell.
+  // Era of the store when it sent the response; nullopt if the response does not state it.
   virtual std::optional<StoreEra> DecodeEra(const http::Response& response) = 0;
 };
 
--- a/source/store/watch_schedule.h
+++ b/source/store/watch_schedule.h
@@ -1,10 +1,9 @@
-// How long each watch of a prefix waits at the store, and when its answer is missed. Free of input
-// and output.
+// Decides the wait time and the timeout of each long-poll watch of a prefix. Performs no I/O.
 //
-// The answer to a watch that waits long is missed only when its wait is over, although the request
-// or its connection may have been lost at once. Most are lost while there are changes, or the
-// faults that cause them. So the first watches after changes are short, and one that gets no answer
-// is asked for again before anything else is concluded.
+// The loss of a watch request or of its connection is detected only when the watch times out, so a
+// watch with a long wait hides a loss for that long. Most losses happen around changes, or around
+// the faults that cause the changes. Therefore the first watches after a change have short waits,
+// and a watch that gets no response is sent once more before changes are assumed to be missing.
 #pragma once
 
 #include <array>
@@ -15,8 +14,8 @@
 
 namespace runshelf::store {
 
-// How long the store may keep a watch waiting for changes, and how much later its answer is given
-// up.
+// `wait`: how long the store may hold a watch while there are no changes. `grace`: additional time
+// after which the watch counts as unanswered.
 struct WatchTimes {
   Duration wait;
   Duration grace;
@@ -24,33 +23,36 @@
 
 class WatchSchedule {
  public:
-  // While off, each watch waits as long as the store client allows.
+  // Enables short watches after changes. While disabled, each watch uses the maximum wait of the
+  // store client.
   void SetConfirming(bool confirming);
   bool confirming() const { return confirming_; }
 
-  // Of the next watch; nullopt: as long as the store client allows.
+  // Times for the next watch; nullopt: the defaults of the store client.
   std::optional<WatchTimes> NextTimes() const;
-  // The next watch is one whose loss is noticed soon.
+  // The next watch has the shortest wait, so that its loss is detected soon.
   bool NextIsShort() const { return confirming_ && without_changes_ == 0; }
-  // The store told of changes, or the whole range was read: the next watch is short again.
+  // To be called after changes were received or the whole range was read: the next watch is short
+  // again.
   void Restart();
-  // A watch ended without changes.
+  // To be called when a watch ended without changes.
   void OnNoChanges();
-  // The store gave some answer.
+  // To be called when the store answered a watch.
   void OnAnswered() { unanswered_ = false; }
-  // A watch got no answer. True: it is to be asked for again from the same revision, since a store
-  // that is slow for a moment answers the next one. False: something may be missing.
+  // To be called when a watch got no response. Returns true if the watch is to be sent again from
+  // the same revision, because a store that was slow for a moment answers the next one; false if
+  // changes may be missing.
   bool OnUnanswered();
 
  private:
   static constexpr std::array<Duration, 2> kWaits{std::chrono::milliseconds(500),
                                                   std::chrono::seconds(4)};
-  // Of the first watch; the others are given up as any call to the store.
+  // Grace of the first watch. The others use the timeout of any call to the store.
   static constexpr Duration kShortGrace = std::chrono::milliseconds(300);
   static constexpr Duration kGrace = std::chrono::milliseconds(900);
 
   bool confirming_ = false;
-  bool unanswered_ = false;  // The latest watch.
+  bool unanswered_ = false;  // The latest watch got no response.
   size_t without_changes_ = 0;
 };
 
