--- a/source/sidecar/node_metrics.cc
+++ b/source/sidecar/node_metrics.cc
@@ -37,30 +37,30 @@
   explicit Families(prometheus::Registry* registry) {
     auto& latency = prometheus::BuildHistogram()
                         .Name("runshelf_request_duration_seconds")
-                        .Help("From the arrival of a client's request to its final answer.")
+                        .Help("Time from the arrival of a client's request to its final response.")
                         .Register(*registry);
     for (size_t index = 0; index < kOutcomeNames.size(); ++index) {
       latencies[index] = &latency.Add({{"outcome", kOutcomeNames[index]}}, LatencyBuckets());
     }
     loop_turns = &prometheus::BuildHistogram()
                       .Name("runshelf_loop_turn_seconds")
-                      .Help("Time for which the event loop was at work between two waits.")
+                      .Help("Time that one event loop iteration took between two waits.")
                       .Register(*registry)
                       .Add({}, LatencyBuckets());
     auto& transfers = prometheus::BuildHistogram()
                           .Name("runshelf_state_transfer_seconds")
-                          .Help("Duration of transfers of the state that this node began.")
+                          .Help("Duration of state transfers started by this node.")
                           .Register(*registry);
     transfers_succeeded = &transfers.Add({{"outcome", "succeeded"}}, LatencyBuckets());
     transfers_failed = &transfers.Add({{"outcome", "failed"}}, LatencyBuckets());
     transfer_bytes = &prometheus::BuildCounter()
                           .Name("runshelf_state_transfer_bytes_total")
-                          .Help("Bytes of the state in transfers that this node began.")
+                          .Help("Bytes transferred in state transfers started by this node.")
                           .Register(*registry)
                           .Add({});
     auto& unexpected = prometheus::BuildCounter()
                            .Name("runshelf_unexpected_answers_total")
-                           .Help("Answers that belong to no request under way; none was passed on.")
+                           .Help("Responses that match no pending request; all were discarded.")
                            .Register(*registry);
     for (const http::UnexpectedAnswer::Kind kind : kUnexpectedAnswerKinds) {
       unexpected_answers[static_cast<size_t>(kind)] =
@@ -104,69 +104,71 @@
     prometheus::BuildCounter().Name(name).Help(help).Register(now).Add({}).Increment(
         static_cast<double>(value));
   };
-  gauge("runshelf_worker_running", "Requests in the slots of the worker.", gauges.load.running);
-  gauge("runshelf_worker_queued", "Requests that wait for a slot.", gauges.load.queued);
-  gauge("runshelf_worker_slots", "Requests that the worker runs at once.", gauges.load.slots);
-  gauge("runshelf_requests_under_way", "Requests of clients without a final answer.",
+  gauge("runshelf_worker_running", "Requests that the worker is executing.", gauges.load.running);
+  gauge("runshelf_worker_queued", "Requests waiting for a slot of the worker.", gauges.load.queued);
+  gauge("runshelf_worker_slots",
+        "Maximum number of requests that the worker executes concurrently.", gauges.load.slots);
+  gauge("runshelf_requests_under_way", "Requests of clients without a final response.",
         static_cast<double>(gauges.requests_under_way.clients));
   gauge("runshelf_nested_calls_under_way",
-        "Calls of the worker beside the node, during its runs, without a final answer.",
+        "Calls made by the node's worker while executing requests, without a final response.",
         static_cast<double>(gauges.requests_under_way.nested));
   gauge("runshelf_forwarded_requests_under_way",
-        "Requests that other nodes sent here, without a final answer.",
+        "Requests forwarded here by other nodes, without a final response.",
         static_cast<double>(gauges.requests_under_way.forwarded));
-  gauge("runshelf_configuration_version", "Version in force; zero: none is known.",
+  gauge("runshelf_configuration_version",
+        "Version of the configuration in force; zero: none is known.",
         static_cast<double>(gauges.configuration_version));
   gauge("runshelf_shard_map_revision", "Revision of the shard map of the worker's service.",
         static_cast<double>(gauges.shard_map_revision));
-  gauge("runshelf_store_reachable", "Whether the store answered lately.",
+  gauge("runshelf_store_reachable", "Whether the store is reachable.",
         gauges.store_reachable ? 1 : 0);
-  gauge("runshelf_store_era", "Rises each time the store comes back from an older copy.",
+  gauge("runshelf_store_era", "Increases each time the store is restored from a backup.",
         static_cast<double>(gauges.store_era));
-  gauge("runshelf_ready", "Whether the node takes new clients.", gauges.ready ? 1 : 0);
-  gauge("runshelf_stopping", "Whether the node was told to stop.", gauges.stopping ? 1 : 0);
-  gauge("runshelf_live_nodes", "Nodes of the fleet that this one knows.",
+  gauge("runshelf_ready", "Whether the node accepts new clients.", gauges.ready ? 1 : 0);
+  gauge("runshelf_stopping", "Whether the node is shutting down.", gauges.stopping ? 1 : 0);
+  gauge("runshelf_live_nodes", "Live nodes of the fleet known to this node.",
         static_cast<double>(gauges.live_nodes));
   gauge("runshelf_quarantined_requests",
-        "Different requests in quarantine: workers ended under them.",
+        "Distinct requests in quarantine because workers ended while executing them.",
         static_cast<double>(gauges.quarantined_requests));
-  counter("runshelf_quarantine_refusals_total", "Requests refused since they are in quarantine.",
+  counter("runshelf_quarantine_refusals_total", "Requests refused because they are in quarantine.",
           gauges.quarantine_refusals);
-  counter("runshelf_quarantine_trials_total", "Requests in quarantine that were sent to a worker.",
-          gauges.quarantine_trials);
-  counter("runshelf_store_calls_total", "Calls to the store, those passed on included.",
+  counter("runshelf_quarantine_trials_total",
+          "Quarantined requests that were sent to a worker as a trial.", gauges.quarantine_trials);
+  counter("runshelf_store_calls_total", "Calls to the store, including those forwarded for peers.",
           gauges.store_calls);
   counter("runshelf_connections_opened_total",
           "Connections opened to workers, nodes and the store.", gauges.connections_opened);
   counter("runshelf_grants_sent_total", "Grants of keys sent to the worker, renewals included.",
           gauges.grants_sent);
   counter("runshelf_unstamped_successes_total",
-          "Successes at the worker beside the node for which it does not vouch.",
+          "Successful responses of the node's worker without its stamp.",
           gauges.unstamped_successes);
-  counter("runshelf_retries_total", "Requests sent once more.", gauges.retries);
-  counter("runshelf_log_lines_dropped_total", "Log lines lost since nobody read them in time.",
-          gauges.log_lines_dropped);
-  gauge("runshelf_state_silence_seconds", "Since the latest beacon of another node.",
+  counter("runshelf_retries_total", "Requests sent again after a failed attempt.", gauges.retries);
+  counter("runshelf_log_lines_dropped_total",
+          "Log lines dropped because the log's reader was too slow.", gauges.log_lines_dropped);
+  gauge("runshelf_state_silence_seconds", "Time since the latest beacon of another node.",
         std::chrono::duration<double>(gauges.since_peer_beacon).count());
   auto& behind = prometheus::BuildGauge()
                      .Name("runshelf_state_behind_seconds")
-                     .Help("For how long others have announced changes that are missing here.")
+                     .Help("How long changes announced by other nodes have been missing here.")
                      .Register(now);
   auto& known = prometheus::BuildGauge()
                     .Name("runshelf_state_revision")
-                    .Help("Up to which the copy of a part of the state is complete.")
+                    .Help("Revision up to which the local copy of the prefix is complete.")
                     .Register(now);
   auto& announced = prometheus::BuildGauge()
                         .Name("runshelf_state_announced_revision")
-                        .Help("The newest that another node said to have.")
+                        .Help("Highest revision that another node announced.")
                         .Register(now);
   auto& stale_items = prometheus::BuildCounter()
                           .Name("runshelf_state_stale_items_total")
-                          .Help("Items dropped since the copy has a higher revision of them.")
+                          .Help("Items dropped because the copy has a higher revision of them.")
                           .Register(now);
   auto& lost_histories = prometheus::BuildCounter()
                              .Name("runshelf_state_lost_histories_total")
-                             .Help("Watches that the store had no history for.")
+                             .Help("Watches refused because the store no longer has the history.")
                              .Register(now);
   for (const auto& [prefix, freshness] : gauges.freshness) {
     behind.Add({{"prefix", prefix}})
@@ -177,7 +179,7 @@
     lost_histories.Add({{"prefix", prefix}})
         .Increment(static_cast<double>(freshness.lost_histories));
   }
-  // Single values first: a reader that takes only the beginning of a long text still has them.
+  // Gauges and counters come first, so that a reader that truncates a long text still gets them.
   auto collected = now.Collect();
   for (auto& family : registry_->Collect()) collected.push_back(std::move(family));
   return prometheus::TextSerializer().Serialize(collected);
--- a/source/sidecar/node_metrics.h
+++ b/source/sidecar/node_metrics.h
@@ -1,4 +1,4 @@
-// Counters and latencies of one node in the usual text format (prometheus-cpp underneath).
+// Counters, gauges and latency histograms of one node in the Prometheus text format.
 #pragma once
 
 #include <cstdint>
@@ -19,19 +19,19 @@
 
 namespace runshelf::sidecar {
 
-// How the node answered a client.
+// Outcome of a client's request.
 enum class RequestOutcome {
-  kServed,   // The answer of a worker, whatever its status.
-  kRefused,  // Certainly not run.
-  kFailed,   // 502, 504, or an answer that broke off.
+  kServed,   // Answered by a worker, with any status.
+  kRefused,  // Refused; guaranteed not to have been executed.
+  kFailed,   // Status 502 or 504, or an incomplete response.
   kUnknownRoute,
-  kCancelled,  // The client left first.
+  kCancelled,  // The client disconnected first.
 };
 
-// What is true at the moment of asking.
+// Values sampled when the metrics are requested.
 struct NodeGauges {
-  routing::TargetLoad load;           // Of the worker beside the node.
-  int64_t configuration_version = 0;  // Zero: none is known.
+  routing::TargetLoad load;           // Load of the node's worker.
+  int64_t configuration_version = 0;  // Zero: no configuration is known.
   store::Revision shard_map_revision = 0;
   bool store_reachable = false;
   store::StoreEra store_era = 0;
@@ -44,14 +44,15 @@
   uint64_t grants_sent = 0;
   uint64_t unstamped_successes = 0;
   uint64_t retries = 0;
-  size_t quarantined_requests = 0;  // Under which workers ended.
+  size_t quarantined_requests = 0;  // Requests during whose execution workers ended.
   uint64_t quarantine_refusals = 0;
   uint64_t quarantine_trials = 0;
   uint64_t log_lines_dropped = 0;
-  std::map<std::string, Freshness> freshness;  // Of the parts of the state, by prefix.
-  Duration since_peer_beacon{0};               // Since the latest beacon of another node.
+  std::map<std::string, Freshness> freshness;  // Freshness of the local state by key prefix.
+  Duration since_peer_beacon{0};               // Time since the latest beacon of another node.
 };
 
+// Collects the metrics of one node and serializes them together with sampled gauges.
 class NodeMetrics {
  public:
   NodeMetrics();
@@ -59,13 +60,14 @@
   NodeMetrics(const NodeMetrics&) = delete;
   NodeMetrics& operator=(const NodeMetrics&) = delete;
 
-  // `age`: from the arrival of the request to its final answer.
+  // `age`: time from the arrival of the request to its final response.
   void OnRequest(RequestOutcome outcome, Duration age);
-  // `turn`: time for which the event loop was at work between two waits.
+  // `turn`: time that one event loop iteration took between two waits.
   void OnLoopTurn(Duration turn);
   void OnUnexpectedAnswer(http::UnexpectedAnswer::Kind kind);
-  // A transfer of a part of the state that this node began has ended.
+  // To be called when a state transfer started by this node has ended.
   void OnStateTransfer(bool succeeded, size_t bytes, Duration took);
+  // Returns all metrics in the Prometheus text format.
   std::string Serialize(const NodeGauges& gauges) const;
 
  private:
--- a/source/sidecar/part_configs.cc
+++ b/source/sidecar/part_configs.cc
@@ -8,7 +8,8 @@
 
 constexpr Duration kLeaseTimeToLive = std::chrono::seconds(8);
 constexpr Duration kGrantHold = std::chrono::seconds(3);
-// Heartbeats that may be missed before a worker counts as cut off; single ones come late.
+// Heartbeat intervals without a heartbeat after which a worker counts as disconnected. More than
+// one, because single heartbeats may be late.
 constexpr double kMissedHeartbeats = 2.5;
 constexpr double kBytesPerMegabit = 125000;
 
@@ -72,12 +73,11 @@
 }
 
 uint16_t BeaconPort(const Settings& settings) {
-  // The first of the nodes' own ports carries load reports.
+  // The first of the nodes' own ports is used for load reports.
   if (settings.peer_port_last <= settings.peer_port_first) return 0;
   return static_cast<uint16_t>(settings.peer_port_first + 1);
 }
 
-// The part of `key` after `prefix`; empty when the key does not begin so.
 std::string NameAfter(const std::string& key, std::string_view prefix) {
   return key.starts_with(prefix) ? key.substr(prefix.size()) : std::string();
 }
--- a/source/sidecar/part_configs.h
+++ b/source/sidecar/part_configs.h
@@ -1,5 +1,5 @@
-// Configurations of the parts of a node, from the settings of its process, and the keys under which
-// nodes keep their state in the store.
+// Derives the configurations of the components of a node from the settings of its process, and
+// defines the keys under which nodes keep their state in the store.
 #pragma once
 
 #include <string>
@@ -20,8 +20,9 @@
 constexpr std::string_view kShardPrefix = "runshelf/shards/";
 constexpr std::string_view kDrainPrefix = "runshelf/drains/";
 
+// Key of the item `name` below `prefix`.
 std::string KeyOf(std::string_view prefix, const std::string& name);
-// The part of `key` after `prefix`; empty when the key does not begin so.
+// The part of `key` after `prefix`; empty if `key` does not start with it.
 std::string NameAfter(const std::string& key, std::string_view prefix);
 
 store::StoreClientConfig StoreConfig(const Settings& settings);
@@ -30,9 +31,9 @@
 ShardHolderConfig HolderConfig(const Settings& settings);
 ShardCoordinatorConfig CoordinatorConfig(const Settings& settings);
 StateFeedConfig FeedConfig(const Settings& settings);
-// Of the beacons of the state feed; zero: the settings name no port for them.
+// UDP port of the state feed's beacons; zero if the settings provide no port for them.
 uint16_t BeaconPort(const Settings& settings);
-// Of the machine, a second; zero: not known.
+// Bandwidth of the machine's link in Mbit/s; zero: unknown.
 uint32_t LinkMegabits(const Settings& settings);
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/sidecar.cc
+++ b/source/sidecar/sidecar.cc
@@ -11,24 +11,29 @@
 
 constexpr int kOk = 200;
 constexpr int kServiceUnavailable = 503;
-// The state must be read under the node's lease, so that a read before it would be made twice;
-// without a lease for this long (some calls to the store, at 4 ms each), it is read all the same.
+// The state must be read under the node's lease, so reading it before the lease is acquired would
+// require a second read. If there is no lease after this time (several calls to the store at 4 ms
+// each), the state is read without one.
 constexpr Duration kStateReadDelay = std::chrono::milliseconds(400);
 constexpr double kPercent = 100;
 constexpr Duration kTickInterval = std::chrono::seconds(1);
-// Before the end of the time in which a draining worker may be sent requests: what is sent then
-// must still arrive in time.
+// Requests to a draining worker stop this long before the drain timeout, so that the last one still
+// arrives in time.
 constexpr Duration kDrainSendMargin = std::chrono::milliseconds(150);
-// Between lines that tell what is exchanged with other nodes and the store.
+// Interval of the "traffic" log lines.
 constexpr Duration kTrafficLogInterval = std::chrono::seconds(5);
-// A turn of the event loop that is worth a line: health checks and beacons wait as long.
+// Event loop iterations of at least this duration are logged, as health checks and beacons are
+// delayed by as much.
 constexpr Duration kLongTurn = std::chrono::milliseconds(250);
-// Time without a turn of the loop after which everything known may be old.
+// Time between ticks after which the process counts as suspended, so that all its data may be
+// stale.
 constexpr Duration kPauseThreshold = std::chrono::milliseconds(2500);
-// Nodes that write an end they were told of to the store. Of a fleet whose nodes are started again
-// while the store is away some must live on; each may cost a call or two when the store is back.
+// Number of nodes asked to write a received worker end to the store. If nodes restart while the
+// store is unreachable, at least one of the writers must survive; each writer may cost one or two
+// calls when the store is reachable again.
 constexpr size_t kWorkerEndWriters = 8;
-// For another node to take a message. One that does not is told by the store, once it is back.
+// A node that does not accept the message within this time learns of the worker's end from the
+// store, once that is reachable again.
 constexpr Duration kWorkerEndCallTimeout = std::chrono::seconds(1);
 
 }  // namespace
@@ -128,7 +133,7 @@
   store_.set_relay(this);
   store_.set_on_direct_lost([this] {
     for (store::PrefixWatcher* watcher : {&configuration_watcher_, &state_watcher_}) {
-      // One that follows has no watch at the store that could be lost.
+      // A following watcher has no watch at the store that could be lost.
       if (!watcher->following()) watcher->Refresh();
     }
   });
@@ -187,7 +192,7 @@
         Listen(&metrics_server_, settings_.metrics, "metrics")}) {
     if (!status.ok()) return status;
   }
-  // Other nodes keep their connections longer than clients do.
+  // Other nodes keep their connections open for longer than clients.
   inbound_.limits().max_head_bytes = size_t{64} * 1024;
   inbound_.limits().idle_timeout = std::chrono::minutes(2);
   log_.Write(LogLevel::kInfo, "started",
@@ -208,8 +213,9 @@
   return absl::OkStatus();
 }
 
-// What nodes wrote since the copy is gone, their leases too. Whoever follows another node's changes
-// gets the present state from it; this node's own lease has the state read in any case.
+// Everything written since the backup is lost, including leases. Watchers that follow another node
+// receive the current state from it. The state is read again in any case when this node acquires a
+// new lease.
 void Sidecar::OnStoreRestored(store::StoreEra former, store::StoreEra present) {
   log_.Write(LogLevel::kWarning, "store_restored", {{"former_era", former}, {"era", present}});
   lease_.OnStoreRestored();
@@ -238,8 +244,9 @@
               {"waited_ms", ToMilliseconds(watch.waited)},
               {"asked_again", watch.asked_again},
               {"leading", feed_.leading()}});
-  // Where the store is not slow, the connection fell silent, and others may have with it. The idle
-  // ones are closed by now, so that no later call would find out.
+  // If the store is not slow, the connection is dead, and other connections may be too. Idle
+  // connections are closed by now, so no later call would detect a dead connection of the other
+  // watch.
   if (!store_.answers_promptly()) return;
   for (store::PrefixWatcher* other : {&configuration_watcher_, &state_watcher_}) {
     if (other != &watcher) other->RestartWatch();
@@ -266,8 +273,8 @@
       settings->worker == settings_.worker && settings->store == settings_.store;
   settings_.bounds = settings->bounds;
   log_.Write(same_addresses ? LogLevel::kInfo : LogLevel::kWarning, "reloaded",
-             {{"bounds", "taken over"},
-              {"addresses", same_addresses ? "unchanged" : "changed; they need a restart"}});
+             {{"bounds", "applied"},
+              {"addresses", same_addresses ? "unchanged" : "changed; restart required"}});
 }
 
 bool Sidecar::ready() const {
@@ -364,25 +371,25 @@
       peers_.OnRecord(*record);
       quarantine_.OnWorkerAt(record->node, record->worker_id);
     } else {
-      LogRefusedItem(item, "no record of this node");
+      LogRefusedItem(item, "not a valid record of the node named by the key");
     }
     ingress_.OnShardsChanged();
     return;
   }
   if (const auto key = ShardMapKey::Parse(item.key); key.has_value()) {
-    if (!shard_directory_.OnItem(*key, item)) LogRefusedItem(item, "no shard map");
+    if (!shard_directory_.OnItem(*key, item)) LogRefusedItem(item, "not a valid shard map");
     if (shard_store_.OnItem(item)) holder_.OnMapChanged();
     ingress_.OnShardsChanged();
     return;
   }
   if (RequestQuarantine::IsItemKey(item.key)) {
     if (!quarantine_.OnItem(item))
-      LogRefusedItem(item, "no record of a worker's end or a quarantine");
+      LogRefusedItem(item, "not a valid record of a worker's end or of a quarantined request");
     return;
   }
   if (FormerGrants::IsItemKey(item.key)) return former_grants_.OnItem(item);
   if (MemoryRecord::IsItemKey(item.key)) {
-    if (!memory_.OnItem(item)) LogRefusedItem(item, "no record of the fleet's memory");
+    if (!memory_.OnItem(item)) LogRefusedItem(item, "not a valid memory record");
     return;
   }
   if (TableOverrides::IsCellKey(item.key)) {
@@ -398,7 +405,7 @@
   }
 }
 
-// Another writer may have put it there. What was known before holds on.
+// The item may come from another writer. The value known before remains in force.
 void Sidecar::LogRefusedItem(const store::Item& item, const char* reason) {
   log_.Write(LogLevel::kError, "state_item_refused",
              {{"key", item.key},
@@ -421,9 +428,10 @@
   }
 }
 
-// Each node writes its own item again, and one of them the shard map.
+// Node records, shard maps, the memory record and former grants are excluded from the lost items:
+// each node writes its own record again, and one node the shard map.
 void Sidecar::OnStateEraBegan(const store::EraChange& change) {
-  // The store itself may not have told this process of that era yet.
+  // The new era may have been announced by a peer before a response of the store stated it.
   const store::StoreEra era = store::EraOf(change.revision);
   former_grants_.OnEraBegan(era);
   std::map<std::string, store::Item> former = change.former;
@@ -478,8 +486,8 @@
   Announce();
 }
 
-// Which requests end their workers can be told from these lines alone: it is at work under each
-// end.
+// These log lines are sufficient to find a request that crashes workers: it is being executed
+// whenever one ends.
 void Sidecar::OnWorkerEnded(const std::string& worker_id) {
   const auto at_work = gate_.TakeAtWork(worker_id);
   if (at_work.empty()) return;
@@ -503,7 +511,7 @@
   }
   const size_t writers = std::min(others.size(), kWorkerEndWriters);
   for (size_t index = 0; index < others.size(); ++index) {
-    // The first ones are drawn among all.
+    // The writers are chosen at random from all other nodes.
     if (index < writers) {
       std::swap(others[index], others[index + random_.Below(others.size() - index)]);
     }
@@ -535,31 +543,33 @@
   lease_.SetValue(record.Serialize());
 }
 
-// In the store, and to this node's own choice of workers; the others learn it with answers too.
+// Announces the stop in the store and to this node's own choice of workers. Other nodes also learn
+// of it from responses.
 void Sidecar::AnnounceStop() {
   Announce();
   std::optional<StopNotice> notice = stop_schedule_.Notice(loop_.Now());
-  // What this node still takes itself, its own worker may run when no other can.
+  // Requests that this node still accepts may be executed by its own worker if no other can.
   if (notice.has_value()) notice->takes_requests = notice->ends;
   peers_.OnStopNotice(loop_.Now(), settings_.node_name, notice);
   if (!holder_.HoldsNothing() && !ShouldReleaseKeys()) lease_.RenewNow();
   holder_.SetLeaving(ShouldReleaseKeys());
 }
 
-// A node that stops keeps its keys until the store has answered since: before, they could be handed
-// over to nobody, and released they would be served by nobody.
+// A stopping node keeps its keys until the store has responded after the stop began. Before that,
+// the keys could not be handed over, and if released, no node would serve them.
 bool Sidecar::ShouldReleaseKeys() const {
   return monitor_.state() == WorkerState::kDraining || stop_schedule_.BegunBy(lease_.renewed_at());
 }
 
-// Others may take the shards of a node as soon as its item is gone. While the worker may still hold
-// keys, the item stays until the lease runs out, which no grant outlasts.
+// Other nodes may take over the shards of a node as soon as its item is removed. While the worker
+// may still hold keys, the item therefore stays until the lease expires; all grants expire earlier.
 void Sidecar::EndLease() {
   if (!holder_.WorkerMayHoldKeys()) lease_.End();
 }
 
 Instant Sidecar::AuthorityUntil() const {
-  // Until the map is carried over into the present era, the lease of the former one backs it.
+  // Until the shard map has been carried over to the current era, it is backed by the lease of the
+  // former era.
   if (!shard_store_.OfPresentEra()) return lease_.ValidUntilIn(shard_store_.era());
   if (confirmed_lease_ == 0 || confirmed_lease_ != lease_.lease()) return Instant{};
   return lease_.ValidUntil();
@@ -598,7 +608,7 @@
   }
 }
 
-// Sums since the process started.
+// Logs totals since the process started.
 void Sidecar::LogTraffic() {
   traffic_logged_at_ = loop_.Now();
   const store::StoreCallCounts& calls = store_.call_counts();
--- a/source/sidecar/sidecar.h
+++ b/source/sidecar/sidecar.h
@@ -1,4 +1,4 @@
-// A sidecar process: the parts of one node, wired together.
+// A sidecar process: creates the components of one node and connects them.
 #pragma once
 
 #include <functional>
@@ -38,26 +38,28 @@
 
 namespace runshelf::sidecar {
 
-// Not copyable; belongs to the thread of its loop.
+// Not copyable. All methods must be called on the thread of its event loop.
 class Sidecar : private ShardHolderContext, private store::StoreRelay {
  public:
   Sidecar(event::EventLoop& loop, Settings settings, const WireFormat& wire,
           store::StoreCodec& codec, Random& random, LogWriter& log);
   ~Sidecar() override;
 
-  // Listens on all addresses of the settings; kUnavailable names one that cannot be had.
+  // Listens on all addresses of the settings and starts the node. kUnavailable: the message names
+  // the address on which listening failed.
   absl::Status Start();
-  // Finishes what runs, hands the worker's keys over, and calls `on_stopped`.
+  // Completes pending requests, hands over the worker's keys, and calls `on_stopped`.
   void Stop(std::function<void()> on_stopped);
-  // Takes over what may change while the process runs: the fleet's bounds. Everything else stays as
-  // it was at the start, and the log says so.
+  // Applies the settings that may change at run time, which are the fleet's bounds. All other
+  // settings keep their values from the start; changed addresses are logged as needing a restart.
   void Reload(const absl::StatusOr<Settings>& settings);
+  // The node accepts new clients: it has a configuration and the state, and is not stopping.
   bool ready() const;
-  // Of the configuration in force; zero: none is known.
+  // Version of the configuration in force; zero: none is known.
   int64_t configuration_version() const {
     return configuration_ == nullptr ? 0 : configuration_->version();
   }
-  // This node passes the state in the store on to the others.
+  // This node distributes the state of the store to the other nodes.
   bool leads_feed() const { return feed_.leading(); }
   const Ingress& ingress() const { return ingress_; }
   const PeerDirectory& peers() const { return peers_; }
@@ -91,28 +93,30 @@
   void OnStateItem(const store::Item& item);
   void LogRefusedItem(const store::Item& item, const char* reason);
   void OnStateRemoved(const std::string& key);
-  // The store has gone back to an older copy of the state.
+  // The store was restored from a backup, with an older version of the state.
   void OnStateEraBegan(const store::EraChange& change);
-  // The fleet may have forgotten ends of workers, or may not have any more.
+  // Whether the fleet may have lost records of ended workers has changed.
   void OnMemoryChanged();
-  // A watch may have brought it before the answer to the write came.
+  // An item of the quarantine was written. A watch may have delivered it before the response to the
+  // write.
   void OnQuarantineWritten(const store::Item& item);
   void OnStateSynchronized();
   void OnWorkerChanged(bool former_gone);
   void OnWorkerEnded(const std::string& worker_id);
-  // Of a worker's end, directly.
+  // Sends the record of a worker's end to all other nodes directly, without the store.
   void BroadcastWorkerEnd(const std::string& worker_end);
-  // Of the limit of a cell, the part of the worker beside this node; nullopt: no limit.
+  // This node's share of the rate limit that the operators' table sets for the caller class;
+  // nullopt: no limit.
   std::optional<double> LocalRateLimit(const std::string& caller_class);
   void Announce();
   void AnnounceStop();
   bool ShouldReleaseKeys() const;
   void EndLease();
   void OnStoreRestored(store::StoreEra former, store::StoreEra present);
-  // Connections to the store that are open do not bring answers any more.
+  // The store no longer responds on the open connections.
   void OnStoreUnresponsive();
   void OnWatchUnanswered(const store::PrefixWatcher& watcher, const store::UnansweredWatch& watch);
-  // Reads the state in the store whole, for the first time or again.
+  // Reads the whole state from the store, for the first time or again.
   void ReadState();
   void OnTick();
   void LogTraffic();
@@ -126,8 +130,8 @@
   StopSchedule stop_schedule_;
   uint64_t incarnation_;
   http::ConnectionPool pool_;
-  // For grants and releases. One without an answer takes its connection with it; those on which the
-  // worker answers requests last, and tell that it runs.
+  // Connections for grants and releases. A call without a response closes its connection; the
+  // connections of `pool_`, on which the worker answers requests, stay open and show that it runs.
   http::ConnectionPool order_pool_;
   store::StoreClient store_;
   PeerDirectory peers_;
@@ -161,12 +165,13 @@
   event::Timer state_read_timer_;
   StopSequence stop_sequence_;
   std::shared_ptr<const routes::RoutingConfiguration> configuration_;
-  // Lease under which the state was read again: only then does the node act on what it owns.
+  // Lease under which the state was last read. The node acts as owner of keys only while this is
+  // the current lease.
   store::LeaseId confirmed_lease_ = 0;
   store::LeaseId lease_to_confirm_ = 0;
   bool may_have_forgotten_ = false;
   Instant last_tick_at_{};
-  Instant load_reported_at_{};  // Of the load of the worker's keys.
+  Instant load_reported_at_{};  // Last report of the load of the worker's keys.
   Instant traffic_logged_at_{};
 };
 
--- a/source/sidecar/store_probe.cc
+++ b/source/sidecar/store_probe.cc
@@ -5,7 +5,7 @@
 namespace runshelf::sidecar {
 namespace {
 
-// Timers count whole milliseconds and may fire this much before their time.
+// Timers count whole milliseconds and may fire this much early.
 constexpr Duration kTimerRounding = std::chrono::milliseconds(2);
 
 }  // namespace
--- a/source/sidecar/store_probe.h
+++ b/source/sidecar/store_probe.h
@@ -1,6 +1,6 @@
-// Asks the store of the node that leads the feed whether it still answers on the connections that
-// are open, more often than leases must be renewed: a watch on a connection that fell silent looks
-// like one without changes.
+// On the node that leads the state feed, checks whether the store still responds on the open
+// connections, more often than the lease must be renewed: a watch on a dead connection cannot be
+// distinguished from a watch without changes.
 #pragma once
 
 #include <functional>
@@ -10,21 +10,25 @@
 
 namespace runshelf::sidecar {
 
+// Times of the probes.
 struct StoreProbeConfig {
   Duration interval = std::chrono::milliseconds(600);
-  // Without an answer for this long the connections are taken for silent.
+  // Time without a response after which the connections count as dead.
   Duration answer_timeout = std::chrono::milliseconds(300);
-  // Between two silences that are told: a slow store would be asked twice all the time.
+  // Minimum time between two calls of `on_unresponsive`: otherwise each call to a slow store would
+  // be sent twice.
   Duration min_report_interval = std::chrono::seconds(2);
 };
 
+// Sends probes periodically while needed, and reports when the store stops responding.
 class StoreProbe {
  public:
-  // `needed` tells whether this node leads; `on_unresponsive` is called once for each silence.
-  // Renewals of the lease are the probes: they are the cheapest calls.
+  // `needed` returns whether this node leads the feed; `on_unresponsive` is called once for each
+  // period without responses. The probes are renewals of the lease, the cheapest calls.
   StoreProbe(event::EventLoop& loop, store::LeaseKeeper& lease, std::function<bool()> needed,
              std::function<void()> on_unresponsive, StoreProbeConfig config = {});
 
+  // Begins to send probes.
   void Start();
 
  private:
--- a/source/sidecar/wire_format.h
+++ b/source/sidecar/wire_format.h
@@ -1,6 +1,6 @@
-// How the surroundings of a sidecar speak: names of headers, calls of and to workers, the
-// operators' configuration. One implementation for each kind of surroundings; implementations only
-// translate.
+// Interface to the protocol of the platform on which a sidecar runs: header names, calls from and
+// to workers, and the operators' configuration. There is one implementation for each platform;
+// implementations only encode and decode.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -19,124 +19,132 @@
 
 namespace runshelf::sidecar {
 
-// Names of the headers that requests and answers carry.
+// Names of the headers of requests and responses.
 struct HeaderNames {
-  std::string request_id;       // Of one attempt of a client; echoed by workers.
-  std::string deadline;         // Milliseconds that the sender will wait.
-  std::string expected_worker;  // Every other worker refuses the request.
-  std::string caller_service;   // Service of the machine where the request began.
-  std::string shard_key;        // Key of a request to a sharded service.
-  std::string worker_stamp;     // On an answer to a request that ran: the worker vouches for it.
-  std::string not_executed;     // On an answer: the worker did not run the request.
-  std::string worker_load;      // On an answer: running, waiting and slots, joined by commas.
-  std::string worker_id;        // On an answer to a health check.
-  std::string handover;         // On an answer to a release.
-  std::string retry_after;      // On a refusal: seconds, with a fraction.
+  std::string request_id;       // Identifies one attempt of a client; echoed by workers.
+  std::string deadline;         // How long the sender will wait, in ms.
+  std::string expected_worker;  // Any other worker refuses the request.
+  std::string caller_service;   // Service of the machine that sent the request.
+  std::string shard_key;        // Shard key of a request to a sharded service.
+  std::string worker_stamp;     // Response: proof of the worker that it executed the request.
+  std::string not_executed;     // Response: the worker did not execute the request.
+  std::string worker_load;      // Response: running, waiting and slots, comma-separated.
+  std::string worker_id;        // Response to a health check: identity of the worker.
+  std::string handover;         // Response to a release: data for the next holder of the keys.
+  std::string retry_after;      // Refusal: seconds, possibly fractional.
 };
 
-// Keys that a worker holds under one token, or still works on.
+// Range of keys that a worker holds under one fencing token, or for which it still executes
+// requests.
 struct HeldKeys {
   sharding::ShardKey first = 0;
-  sharding::ShardKey last = 0;  // Inside.
+  sharding::ShardKey last = 0;  // Inclusive.
   sharding::FencingToken token = 0;
 };
 
-// Keys that a worker has let go.
+// Range of keys that a worker has released.
 struct ReleasedKeys {
   sharding::ShardKey first = 0;
-  sharding::ShardKey last = 0;  // Inside.
-  std::string handover;         // For the next holder; without it the keys are slow at first.
+  sharding::ShardKey last = 0;  // Inclusive.
+  std::string handover;         // For the next holder; without it requests are slow at first.
 };
 
-// What a worker says of its keys in a heartbeat.
+// Keys that a worker reports in a heartbeat.
 struct KeyReport {
   std::vector<HeldKeys> held;
-  std::vector<ReleasedKeys> released;  // Since its last heartbeat that was acknowledged.
+  std::vector<ReleasedKeys> released;  // Since the last acknowledged heartbeat.
 };
 
-// Keys that a worker is to hold.
+// Range of keys that a worker is to hold.
 struct LeasedKeys {
   sharding::ShardKey first = 0;
-  sharding::ShardKey last = 0;  // Inside.
+  sharding::ShardKey last = 0;  // Inclusive.
   sharding::FencingToken token = 0;
-  std::string handover;  // Of the last holder; empty when there is none or the worker has it.
+  std::string handover;  // From the last holder; empty if there is none or the worker has it.
 };
 
-// Answer to a heartbeat: all keys that the worker is to hold. What is missing it lets go.
+// Part of the response to a heartbeat: all keys that the worker is to hold. The worker releases
+// keys that are not listed.
 struct KeyLease {
   std::vector<LeasedKeys> keys;
-  Duration hold{0};  // Counted by the worker from the sending of the heartbeat.
+  Duration hold{0};  // Validity, counted by the worker from when it sent the heartbeat.
 };
 
-// A worker says that it is well, or that it is leaving.
+// Periodic report of a worker that is running or draining.
 struct WorkerHeartbeat {
-  std::string worker_id;  // Of this incarnation.
+  std::string worker_id;  // Identifies the worker's incarnation.
   std::string service;
   std::string address;
   std::string zone;
   uint32_t slots = 0;
   bool draining = false;
-  Duration cold_remaining{0};  // How much longer it is slow from its start.
-  int64_t sequence = 0;        // Rises with each call of the worker.
-  KeyReport keys;              // Empty where keys are granted by calls.
+  Duration cold_remaining{0};  // Remaining time until the worker is warmed up.
+  int64_t sequence = 0;        // Increases with each call of the worker.
+  KeyReport keys;              // Empty if keys are granted by calls.
 };
 
 // A worker has left or is about to.
 struct WorkerLeave {
-  std::string worker_id;  // Of this incarnation.
+  std::string worker_id;  // Identifies the worker's incarnation.
 };
 
+// A call by which a worker reports its state to its sidecar.
 using WorkerNotice = std::variant<WorkerHeartbeat, WorkerLeave>;
 
-// Gives keys to a worker, or renews what it holds when repeated unchanged.
+// Grants a range of keys to a worker; repeated unchanged, renews the grant.
 struct KeyGrant {
   sharding::ShardKey first = 0;
-  sharding::ShardKey last = 0;  // Inside.
+  sharding::ShardKey last = 0;  // Inclusive.
   sharding::FencingToken token = 0;
-  Duration hold{0};      // Counted by the worker from the arrival.
-  std::string handover;  // Of the last holder; empty when there is none.
+  Duration hold{0};      // Validity, counted by the worker from the arrival of the grant.
+  std::string handover;  // From the last holder; empty if there is none.
 };
 
-// Takes keys back.
+// Revokes a grant of keys.
 struct KeyRelease {
   sharding::ShardKey first = 0;
   sharding::ShardKey last = 0;
   sharding::FencingToken token = 0;
 };
 
+// Encodes and decodes the platform's messages.
 class WireFormat {
  public:
   virtual ~WireFormat() = default;
 
   virtual const HeaderNames& headers() const = 0;
 
-  // The identity that a worker states in its answers, and that requests name. A worker that starts
-  // again may state the same one; then `worker_id`, which names one incarnation, is longer.
+  // Identity that a worker states in its responses and that requests name. A restarted worker may
+  // state the same identity; in that case `worker_id`, which identifies one incarnation, is longer.
   virtual std::string_view StatedIdentity(std::string_view worker_id) const = 0;
-  // Both are incarnations of one worker, and the first one says that it began before the other.
+  // True if both are incarnations of the same worker and `worker_id` states an earlier start than
+  // `other`.
   virtual bool StartedBefore(std::string_view worker_id, std::string_view other) const = 0;
 
-  // Id of the request during whose run a worker sent the request with this id; empty when the id
-  // does not tell. Whether the worker really runs that request is for the caller to check.
+  // Id of the request that a worker was executing when it sent the request with this id; empty if
+  // the id does not contain one. The caller must check that the worker really executes that
+  // request.
   virtual std::string_view ParentRequestId(std::string_view request_id) const = 0;
 
-  // True when the request asks whether this node takes new work.
+  // True if the request is a check whether this node accepts new requests.
   virtual bool IsReadinessCheck(const http::Request& request) const = 0;
 
-  // kNotFound: the request is no call of a worker; kInvalidArgument: it is broken, and why.
+  // kNotFound: the request is not a worker's call; kInvalidArgument: it is malformed, the message
+  // gives the reason.
   virtual absl::StatusOr<WorkerNotice> DecodeWorkerNotice(const http::Request& request) const = 0;
-  // Body of the answer that acknowledges a notice. Without a lease the worker's keys stay as they
-  // are, and are not renewed.
+  // Body of the response that acknowledges a notice. Without a lease the worker's keys are neither
+  // changed nor renewed.
   virtual std::string EncodeAcknowledgement(const std::optional<KeyLease>& lease) const = 0;
-  // Bytes that the body may have at most, and at most needs for one row of a lease.
+  // Maximum size of that body, and maximum size in it of one row of a lease, in bytes.
   virtual size_t MaxAcknowledgementBytes() const = 0;
   virtual size_t LeaseRowBytes(const LeasedKeys& keys) const = 0;
 
+  // Calls to the worker.
   virtual http::Request EncodeGrant(const KeyGrant& grant) const = 0;
   virtual http::Request EncodeRelease(const KeyRelease& release) const = 0;
   virtual http::Request EncodeHealthCheck(const std::string& path) const = 0;
 
-  // Where the operators' configuration lies in the store, and what it says.
+  // Key of the operators' configuration in the store, and the decoder of its value.
   virtual std::string ConfigurationKey() const = 0;
   virtual absl::StatusOr<routes::RoutingConfiguration> DecodeConfiguration(
       const std::string& value) const = 0;
--- a/source/store/lease_keeper.h
+++ b/source/store/lease_keeper.h
@@ -10,6 +10,7 @@
 
 namespace runshelf::store {
 
+// Times of the lease and key of its item.
 struct LeaseKeeperConfig {
   Duration time_to_live = std::chrono::seconds(8);
   Duration renewal_interval = std::chrono::seconds(2);
@@ -28,6 +29,7 @@
  public:
   LeaseKeeper(event::EventLoop& loop, StoreClient& store, LeaseKeeperConfig config);
 
+  // Acquires the first lease and begins to renew it.
   void Start();
   // Renews the lease before the renewal is due, to check whether the store responds; at most once
   // per `retry_interval`.
--- a/source/store/prefix_watcher.h
+++ b/source/store/prefix_watcher.h
@@ -20,6 +20,7 @@
   int burst = 5;
 };
 
+// Prefix to watch, and rate limits of the calls to the store.
 struct PrefixWatcherConfig {
   std::string prefix;
   // Changes that arrive within this time of each other are fetched with one call.
@@ -74,7 +75,9 @@
   PrefixWatcher(event::EventLoop& loop, StoreClient& store, PrefixWatcherConfig config,
                 Observer observer);
 
+  // Reads the range and begins to watch.
   void Start();
+  // Ends all activity; callbacks are not invoked any more.
   void Stop();
   // Reads the whole range again, for example after this process was suspended for a long time.
   void Refresh();
--- a/source/store/store_client.h
+++ b/source/store/store_client.h
@@ -24,6 +24,7 @@
   virtual void MarkForRelay(http::Request* request) = 0;
 };
 
+// Address of the store, and time limits of calls to it.
 struct StoreClientConfig {
   event::Endpoint endpoint;
   Duration call_timeout = std::chrono::milliseconds(900);
@@ -68,10 +69,12 @@
     on_restored_ = std::move(callback);
   }
 
+  // Reads one page of the items below `prefix`, starting after `after_key`.
   void Range(const std::string& prefix, const std::string& after_key,
              std::function<void(absl::StatusOr<RangePage>)> callback);
   // Identifies a pending watch.
   using WatchId = uint64_t;
+  // Waits for changes below `prefix` after the given revision.
   WatchId Watch(const std::string& prefix, Revision after,
                 std::function<void(absl::StatusOr<WatchPage>)> callback);
   // The same with `times`; a wait longer than the configured one is reduced to it.
@@ -80,9 +83,12 @@
   // Closes the connection of the watch without invoking its callback. Must not be called from that
   // callback.
   void CancelWatch(WatchId watch) { active_.Cancel(watch); }
+  // Executes a transaction.
   void Commit(const Transaction& transaction,
               std::function<void(absl::StatusOr<CommitResult>)> callback);
+  // Acquires a lease; the store may grant another time to live.
   void GrantLease(Duration time_to_live, std::function<void(absl::StatusOr<Lease>)> callback);
+  // Renews a lease; kNotFound: it has ended.
   void KeepLease(LeaseId lease, std::function<void(absl::Status)> callback);
   // Revokes the lease; the response is ignored.
   void EndLease(LeaseId lease);
--- a/source/store/store_operations.h
+++ b/source/store/store_operations.h
@@ -37,6 +37,7 @@
 // Human-readable form for logs: "ERA.COUNTER", or "COUNTER" when the store does not report an era.
 std::string RevisionText(Revision revision);
 
+// One key of the store with its value.
 struct Item {
   std::string key;
   std::string value;
@@ -51,11 +52,13 @@
   Revision revision = 0;  // Revision of the store when the page was read.
 };
 
+// One change of an item: a write or a removal.
 struct WatchEvent {
   Item item;  // For a removed item, only the key and the revision are set.
   bool removed = false;
 };
 
+// Result of one watch call; without events if its wait ended without changes.
 struct WatchPage {
   std::vector<WatchEvent> events;  // In ascending revision order.
   Revision revision = 0;           // Revision to continue the watch from.
@@ -68,6 +71,7 @@
   Revision revision = 0;
 };
 
+// Write of one item in a transaction; with a lease, the item is removed when the lease ends.
 struct Put {
   std::string key;
   std::string value;
@@ -81,18 +85,21 @@
   std::vector<std::string> removals;
 };
 
+// How the store processed a transaction.
 enum class CommitOutcome {
   kCommitted,
   kConflict,    // A condition was not satisfied; nothing was changed.
   kLeaseEnded,  // A put names a lease that has expired or was revoked; nothing was changed.
 };
 
+// Result of a transaction that the store processed.
 struct CommitResult {
   CommitOutcome outcome = CommitOutcome::kConflict;
   Revision revision = 0;    // Revision of the change, if it was committed.
   std::vector<Item> found;  // On a conflict: existing items with the keys of the conditions.
 };
 
+// A lease as granted by the store.
 struct Lease {
   LeaseId id = 0;
   StoreEra era = 0;  // Era of the grant; in a later era the id may belong to another lease.
