--- a/tests/store/watch_schedule_test.cc
+++ b/tests/store/watch_schedule_test.cc
@@ -1,4 +1,4 @@
-// How long watches wait, and what follows when one is not answered.
+// Tests the wait times of watches and the reaction to unanswered watches.
 
 #include "source/store/watch_schedule.h"
 
@@ -10,15 +10,16 @@
 TEST_GROUP(WatchSchedule) {
   WatchSchedule schedule;
 
-  // From the call until its answer is missed.
+  // Time from sending a watch until it counts as unanswered.
   Duration NoticedWithin() const {
     const auto times = schedule.NextTimes();
     return times.has_value() ? times->wait + times->grace : Duration::max();
   }
 };
 
-// Guards against a watch lost right after a change that is noticed only when its wait of 25 s ends.
-TEST(WatchSchedule, TheFirstWatchAfterChangesIsMissedWithinASecond) {
+// Guards against the loss of a watch right after a change being detected only when its wait of 25 s
+// ends.
+TEST(WatchSchedule, TheFirstWatchAfterChangesTimesOutWithinASecond) {
   schedule.SetConfirming(true);
   CHECK(NoticedWithin() < std::chrono::seconds(1));
   schedule.OnNoChanges();
@@ -28,7 +29,7 @@
   CHECK(NoticedWithin() < std::chrono::seconds(1));
 }
 
-// Guards against short watches without end in a quiet fleet: each one is a priced call.
+// Guards against endless short watches in an idle fleet: each watch is a billed call.
 TEST(WatchSchedule, WithoutChangesTwoWatchesAreShort) {
   schedule.SetConfirming(true);
   int confirming = 0;
@@ -40,8 +41,8 @@
   CHECK_EQUAL(2, confirming);
 }
 
-// Guards against reads of the whole range whenever a slow store answers one watch late.
-TEST(WatchSchedule, OnlyTheSecondMissInARowIsALoss) {
+// Guards against a read of the whole range each time a slow store answers a single watch late.
+TEST(WatchSchedule, OnlyTheSecondUnansweredWatchInARowIsALoss) {
   schedule.SetConfirming(true);
   const Duration first = NoticedWithin();
   CHECK(schedule.OnUnanswered());
@@ -52,7 +53,7 @@
   CHECK(schedule.OnUnanswered());
 }
 
-// Guards against calls of processes that only follow others.
+// Guards against additional calls by processes that only follow others.
 TEST(WatchSchedule, WhileOffNoWatchIsShort) {
   CHECK_FALSE(schedule.NextTimes().has_value());
   CHECK_FALSE(schedule.OnUnanswered());
