--- a/tests/platform_adapter/store_access_test.cc
+++ b/tests/platform_adapter/store_access_test.cc
@@ -1,4 +1,4 @@
-// The store client, the watcher and the lease keeper against a store with faults.
+// Tests the store client, the prefix watcher and the lease keeper against a store with faults.
 
 #include <CppUTest/TestHarness.h>
 
@@ -17,7 +17,7 @@
 
 namespace {
 
-// Passes marked requests on as a peer would.
+// Forwards marked requests to the store, as a peer does.
 class TestRelay : public store::StoreRelay {
  public:
   TestRelay(event::EventLoop& loop, const event::Endpoint& store)
@@ -33,7 +33,7 @@
   }
   void MarkForRelay(http::Request* request) override { request->head.headers.Add("Relayed", "1"); }
 
-  int passed = 0;
+  int forwarded = 0;
 
  private:
   static store::StoreClientConfig Config(const event::Endpoint& store) {
@@ -43,7 +43,7 @@
   }
 
   void ForwardForPeer(const http::ExchangePtr& exchange) {
-    ++passed;
+    ++forwarded;
     http::Request request = exchange->request();
     request.head.headers.RemoveConnectionHeaders();
     client_.ForwardForPeer(request, std::chrono::seconds(3),
@@ -102,7 +102,8 @@
   STRCMP_EQUAL("a", fake.Find("k")->c_str());
 }
 
-// The revision of the condition is given out again, to another change of the item.
+// After a restore the store assigns the counter of the condition's revision again, to another
+// change of the item.
 TEST(StoreAccess, AConditionFromAFormerEraHoldsForNoItem) {
   const auto copy = fake.TakeCopy();
   store::Transaction first;
@@ -121,9 +122,9 @@
   STRCMP_EQUAL("a", fake.Find("k")->c_str());
 }
 
-// Connections that had fallen silent were used one after the other: the leader's watch waited on
-// one for 25 s, and no node heard of a change.
-TEST(StoreAccess, NoCallIsMadeOnAnotherConnectionOnceOneHasFallenSilent) {
+// Guards against using several dead connections one after another: the leader's watch was pending
+// on one of them for 25 s, and no node received a change.
+TEST(StoreAccess, NoCallUsesAnotherOpenConnectionOnceOneIsDead) {
   soak::FaultProxy proxy(loop, fake.endpoint());
   proxy.Listen("127.0.0.1");
   store::StoreClientConfig config = Config();
@@ -147,7 +148,7 @@
       loop, [&] { return heard; }, std::chrono::milliseconds(500)));
 }
 
-TEST(StoreAccess, ACallGoesThroughAPeerWhileTheDirectWayFails) {
+TEST(StoreAccess, ACallGoesThroughAPeerWhileTheDirectPathFails) {
   TestRelay relay(loop, fake.endpoint());
   client.set_relay(&relay);
   fake.Put("k", "v");
@@ -162,10 +163,10 @@
     });
     CHECK(RunUntil(loop, [&] { return over; }));
   }
-  CHECK(relay.passed > 0);
+  CHECK(relay.forwarded > 0);
 }
 
-TEST(StoreAccess, WithoutAnyWayTheOutcomeIsUnknown) {
+TEST(StoreAccess, WithoutAnyPathTheOutcomeIsUnknown) {
   fake.set_fault(FakeStore::Fault::kSilent);
   bool over = false;
   client.Range("", "", [&](const absl::StatusOr<store::RangePage>& page) {
@@ -176,8 +177,9 @@
   CHECK_FALSE(client.reachable());
 }
 
-// Two calls instead of one reached a store that was away for all, for each try of each node.
-TEST(StoreAccess, ANodeThatTheStoreDoesNotAnswerPassesNoCallsOn) {
+// Guards against doubled load on a store that is unreachable for all nodes: each attempt of each
+// node sent two calls, its own and one through a peer.
+TEST(StoreAccess, ANodeThatTheStoreDoesNotAnswerForwardsNoCalls) {
   fake.set_fault(FakeStore::Fault::kRefuse);
   bool over = false;
   client.Range("", "", [&](const absl::StatusOr<store::RangePage>&) { over = true; });
@@ -234,9 +236,9 @@
   CHECK_FALSE(seen.contains("other"));
 }
 
-// A watch that hears nothing and is then cut must lead to a new read at once: it was handed to a
-// peer with its long wait once, and a configuration came seconds late.
-TEST(PrefixWatcher, ACutWatchIsReadAgainAtOnce) {
+// A watch that receives nothing and is then closed must cause a new read immediately. Guards
+// against handing the watch to a peer with its long wait, which delayed a configuration by seconds.
+TEST(PrefixWatcher, AClosedWatchCausesAReadAtOnce) {
   watcher.Start();
   CHECK(RunUntil(loop, [&] { return watcher.synchronized(); }));
   RunFor(loop, std::chrono::milliseconds(20));
@@ -264,8 +266,7 @@
     RunFor(loop, std::chrono::milliseconds(5));
   }
   CHECK(RunUntil(loop, [&] { return seen.size() == 100; }));
-  // One in each interval, two at once, the one that waits, and one for the last part of an
-  // interval.
+  // One call per interval, a burst of two, the pending one, and one for the last, partial interval.
   const auto intervals =
       static_cast<uint64_t>((loop.Now() - start) / std::chrono::milliseconds(100));
   CHECK(fake.calls("/runshelf/kv-watch") - calls <= intervals + 4);
@@ -278,13 +279,13 @@
   RunFor(loop, std::chrono::milliseconds(700));
   fake.set_fault(FakeStore::Fault::kNone);
   watcher.RetryNow();
-  // By itself it would wait for most of 640 ms more.
+  // Without RetryNow it would wait for most of another 640 ms.
   CHECK(RunUntil(
       loop, [&] { return watcher.synchronized(); }, std::chrono::milliseconds(300)));
 }
 
-// Guards against a node that knows that it is behind and asks nobody, since a read of the store
-// failed and waits for up to three seconds for its next try.
+// Guards against a node that knows that it is behind but does not ask its peers, because a failed
+// read of the store waits up to three seconds for its retry.
 TEST(PrefixWatcher, AReadThatFailedDoesNotKeepItFromAskingOthers) {
   fake.Put("p/a", "1");
   watcher.Start();
@@ -306,7 +307,7 @@
   watcher.CatchUp(watcher.revision() + 7);
   CHECK_EQUAL(1, asked);
   STRCMP_EQUAL("2", seen["p/a"].c_str());
-  // The store is still read once it answers: a lease may have to be confirmed by that.
+  // The store is still read once it responds, as the read may be needed to confirm a lease.
   fake.set_fault(FakeStore::Fault::kNone);
   const uint64_t reads = fake.calls("/runshelf/kv-range");
   CHECK(RunUntil(loop, [&] { return fake.calls("/runshelf/kv-range") > reads; }));
@@ -366,7 +367,7 @@
   keeper.SetValue("v3");
   CHECK(RunUntil(loop, [&] { return keeper.announced(); }));
   STRCMP_EQUAL("v3", fake.Find("node")->c_str());
-  // With a lease that ran out on a busy machine, the item is written again.
+  // If the lease expired on a busy machine, the item is written once more.
   const uint64_t leases_lost = keeper.lease() == lease ? 0 : 1;
   CHECK(fake.calls("/runshelf/kv-txn") <= calls + 1 + leases_lost);
 }
@@ -378,29 +379,29 @@
   CHECK(keeper.ValidUntil() > loop.Now());
 }
 
-// A renewal that is passed over since its timer fires a little early comes an interval later, and
-// the lease is that much shorter when the store goes away.
-TEST(LeaseKeeper, NoRenewalIsPassedOver) {
+// Guards against renewals that are skipped because the timer fires slightly early: the next one
+// follows an interval later, and the lease is shorter by that when the store becomes unreachable.
+TEST(LeaseKeeper, NoRenewalIsSkipped) {
   Announce();
   Instant latest = loop.Now();
   uint64_t renewals = fake.calls("/runshelf/kv-keep");
   int in_time = 0;
-  int passed_over = 0;
+  int skipped = 0;
   RunUntil(
       loop,
       [&] {
         if (fake.calls("/runshelf/kv-keep") == renewals) return false;
         renewals = fake.calls("/runshelf/kv-keep");
-        // Twice the interval, less what timers round.
+        // Twice the interval of 60 ms, minus timer rounding.
         const bool late = loop.Now() - latest >= std::chrono::milliseconds(115);
-        ++(late ? passed_over : in_time);
+        ++(late ? skipped : in_time);
         latest = loop.Now();
         return false;
       },
       std::chrono::seconds(3));
-  // The machine may be busy for a moment.
+  // Tolerates single late renewals on a busy machine.
   CHECK(in_time > 10);
-  CHECK(passed_over <= in_time / 8);
+  CHECK(skipped <= in_time / 8);
 }
 
 TEST(LeaseKeeper, ValidityCountsFromBeforeTheRenewalAndEndsByItself) {
@@ -412,7 +413,7 @@
   CHECK(keeper.ValidUntil() < loop.Now());
 }
 
-TEST(LeaseKeeper, AnItemThatWentWithItsLeaseIsWrittenUnderANewOne) {
+TEST(LeaseKeeper, AnItemRemovedWithItsLeaseIsWrittenUnderANewOne) {
   int leases = 0;
   keeper.set_on_new_lease([&] { ++leases; });
   Announce();
@@ -424,7 +425,7 @@
   STRCMP_EQUAL("v1", fake.Find("node")->c_str());
 }
 
-// A write whose answer is lost may be done late: it must not undo a later one.
+// A write whose response is lost may be applied late; it must not overwrite a later one.
 TEST(LeaseKeeper, ALostAnswerDoesNotStopTheNextValue) {
   Announce();
   fake.set_fault(FakeStore::Fault::kLoseWrites);
@@ -436,8 +437,9 @@
   STRCMP_EQUAL("v3", fake.Find("node")->c_str());
 }
 
-// A write got no answer and was done, and the value went back to the one before it: the item kept
-// the value that had no answer, here a worker that was lost for a moment and found again.
+// Guards against an item that keeps the value of a write whose response was lost. It happened when
+// that write was applied and the value then changed back to the previous one, for example when a
+// worker was lost for a moment and found again.
 TEST(LeaseKeeper, AValueThatGoesBackIsWrittenOverOneWithoutAnAnswer) {
   Announce();
   fake.set_fault(FakeStore::Fault::kLoseWrites);
--- a/tests/platform_adapter/translation_test.cc
+++ b/tests/platform_adapter/translation_test.cc
@@ -1,3 +1,6 @@
+// Tests the platform adapter's translation of configurations, worker calls, store calls and
+// settings.
+
 #include <CppUTest/TestHarness.h>
 
 #include <nlohmann/json.hpp>
@@ -68,7 +71,7 @@
 
 namespace {
 
-// A heartbeat with these further fields.
+// A valid heartbeat with additional fields.
 std::string HeartbeatWith(const std::string& fields) {
   return R"({"service":"s1","address":"10.0.0.1:8080","zone":"z","version":"v1","slots":18,)"
          R"("state":"ready","cold_remaining_ms":0,"call_sequence":4)" +
@@ -230,7 +233,8 @@
   STRCMP_EQUAL("i-1", std::get<sidecar::WorkerLeave>(*notice).worker_id.c_str());
 }
 
-// Each differs from a heartbeat that is read in one thing, so that this one is what refuses it.
+// Each body differs from a valid heartbeat in one field only, so that this field is the reason for
+// the refusal.
 TEST(Translation, AHeartbeatThatIsBrokenInOneFieldIsRefusedAsAWhole) {
   const std::string target = "/runshelf/rpc?call=instances.heartbeat&of=i-1";
   const nlohmann::json whole = nlohmann::json::parse(HeartbeatWith(R"("born":1700000000000)"));
@@ -305,7 +309,7 @@
   CHECK(absl::IsNotFound(wire.DecodeWorkerNotice(Post("/other", "")).status()));
 }
 
-TEST(Translation, TheBirthOfAWorkerTellsItsIncarnationsApart) {
+TEST(Translation, TheStartTimeOfAWorkerDistinguishesItsIncarnations) {
   const auto identity = [this](const std::string& call, const std::string& id,
                                const std::string& body) {
     const auto notice =
@@ -329,13 +333,13 @@
   CHECK_FALSE(wire.StartedBefore("i-1", second));
   CHECK_FALSE(wire.StartedBefore(
       identity("instances.heartbeat", "i-0", HeartbeatWith(R"("born":1)")), second));
-  // An id that looks like an incarnation of another one is none.
+  // An id that looks like the identity of another worker's incarnation is not taken for one.
   const std::string odd = identity("instances.heartbeat", "i-1@1700", HeartbeatWith(""));
   CHECK(odd != first);
   CHECK(wire.StatedIdentity(odd) == "i-1@1700");
 }
 
-TEST(Translation, OrdersToWorkersSayWhatTheyMean) {
+TEST(Translation, GrantsAndReleasesAreEncoded) {
   sidecar::KeyGrant grant;
   grant.first = 1;
   grant.last = 9;
@@ -384,7 +388,7 @@
   CHECK(absl::IsResourceExhausted(codec.DecodeTransaction(Answer(429, "")).status()));
 }
 
-TEST(Translation, AnswersOfTheStoreThatMakeNoSenseAreErrors) {
+TEST(Translation, MalformedResponsesOfTheStoreAreErrors) {
   for (const char* body : {"", "[]", "{}", R"({"items":1,"at":1,"events":1,"lease":0,"ttl_ms":5})",
                            R"({"items":[{"private_key":"k"}],"events":[{}],"at":1})",
                            R"({"items":[{"private_key":"k","value":"*","revision":1}],"at":1})"}) {
