--- a/source/sidecar/sidecar.cc
+++ b/source/sidecar/sidecar.cc
@@ -11,25 +11,30 @@
 
 constexpr int kOk = 200;
 constexpr int kServiceUnavailable = 503;
-// The state must be read under the node's lease, so that a read before it would be made twice;
-// without a lease for this long (some calls to the store, at 4 ms each), it is read all the same.
+// The state must be read under the node's lease, so reading it before the lease is acquired would
+// require a second read. If there is no lease after this time (several calls to the store at 4 ms
+// each), the state is read without one.
 constexpr Duration kStateReadDelay = std::chrono::milliseconds(400);
 constexpr double kPercent = 100;
 constexpr Duration kTickInterval = std::chrono::seconds(1);
-// Before the end of the time in which a draining worker may be sent requests: what is sent then
-// must still arrive in time.
+// Requests to a draining worker stop this long before the drain timeout, so that the last one still
+// arrives in time.
 constexpr Duration kDrainSendMargin = std::chrono::milliseconds(150);
-// Between lines that tell what is exchanged with other nodes and the store.
+// Interval of the "traffic" log lines.
 constexpr Duration kTrafficLogInterval = std::chrono::seconds(5);
-// A turn of the event loop that is worth a line: health checks and beacons wait as long.
+// Event loop iterations of at least this duration are logged, as health checks and beacons are
+// delayed by as much.
 constexpr Duration kLongTurn = std::chrono::milliseconds(250);
-// Time without a turn of the loop after which everything known may be old.
-constexpr Duration kPauseNoticed = std::chrono::milliseconds(2500);
-// Nodes that write an end they were told of to the store. Of a fleet whose nodes are started again
-// while the store is away some must live on; each may cost a call or two when the store is back.
-constexpr size_t kEndWriters = 8;
-// For another node to take a message. One that does not is told by the store, once it is back.
-constexpr Duration kTellTimeout = std::chrono::seconds(1);
+// Time between ticks after which the process counts as suspended, so that all its data may be
+// stale.
+constexpr Duration kPauseThreshold = std::chrono::milliseconds(2500);
+// Number of nodes asked to write a received worker end to the store. If nodes restart while the
+// store is unreachable, at least one of the writers must survive; each writer may cost one or two
+// calls when the store is reachable again.
+constexpr size_t kWorkerEndWriters = 8;
+// A node that does not accept the message within this time learns of the worker's end from the
+// store, once that is reachable again.
+constexpr Duration kWorkerEndCallTimeout = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -46,7 +51,7 @@
       order_pool_(loop),
       store_(loop, pool_, codec, StoreConfig(settings_)),
       peers_(settings_.node_name, settings_.zone),
-      told_ends_(loop, pool_),
+      worker_end_calls_(loop, pool_),
       quarantine_(loop, store_, wire, random, log, settings_.node_name),
       gate_(loop, pool_, wire, settings_.worker),
       monitor_(loop, pool_, order_pool_, store_, wire, settings_,
@@ -88,7 +93,7 @@
                                                    BeaconPort(settings_)),
             peers_, {&configuration_watcher_, &state_watcher_}, log, FeedConfig(settings_)),
       store_probe_(
-          loop, lease_, [this] { return feed_.leading(); }, [this] { OnStoreSilent(); }),
+          loop, lease_, [this] { return feed_.leading(); }, [this] { OnStoreUnresponsive(); }),
       loop_monitor_(loop, [this](Duration turn) { OnLoopTurn(turn); }),
       ingress_(IngressContext{loop, pool_, wire, settings_, peers_, shard_directory_, table_,
                               quarantine_, gate_, log, metrics_, random, stop_schedule_}),
@@ -114,9 +119,10 @@
   gate_.set_evidence(&monitor_);
   gate_.set_quarantine(&quarantine_);
   memory_.set_on_changed([this] { OnMemoryChanged(); });
-  quarantine_.set_end_broadcaster([this](const std::string& message) { TellOthers(message); });
+  quarantine_.set_end_broadcaster([this](const std::string& message) { BroadcastWorkerEnd(message); });
   quarantine_.set_on_written([this](const store::Item& item) { OnQuarantineWritten(item); });
-  gate_.set_rate_source([this](const std::string& caller_class) { return RateOf(caller_class); });
+  gate_.set_rate_source(
+      [this](const std::string& caller_class) { return LocalRateLimit(caller_class); });
   for (http::ConnectionPool* pool : {&pool_, &order_pool_}) {
     pool->set_on_idle_lost([this](const event::Endpoint& endpoint) {
       if (endpoint == settings_.worker) holder_.OnWorkerConnectionLost();
@@ -127,7 +133,7 @@
   store_.set_relay(this);
   store_.set_on_direct_lost([this] {
     for (store::PrefixWatcher* watcher : {&configuration_watcher_, &state_watcher_}) {
-      // One that follows has no watch at the store that could be lost.
+      // A following watcher has no watch at the store that could be lost.
       if (!watcher->following()) watcher->Refresh();
     }
   });
@@ -145,7 +151,7 @@
     metrics_.OnStateTransfer(transfer.succeeded, transfer.bytes, transfer.took);
   });
   ingress_.set_configuration_is_behind([this] { return feed_.IsBehind(wire_.ConfigurationKey()); });
-  feed_.set_store_answers([this] { return store_.direct_way_works(); });
+  feed_.set_store_answers([this] { return store_.direct_path_works(); });
   peers_.set_on_stop_notice([this](const std::string& node) {
     log_.Write(LogLevel::kInfo, "peer_stopping",
                {{"node", node}, {"store_reachable", store_.reachable()}});
@@ -158,8 +164,8 @@
   coordinator_.set_on_committed([this] { holder_.OnMapChanged(); });
   coordinator_.set_report_source([this](sharding::LoadReport* report) {
     const Instant now = loop_.Now();
-    holder_.meter().EndPeriod(now - load_rolled_at_);
-    load_rolled_at_ = now;
+    holder_.meter().EndPeriod(now - load_reported_at_);
+    load_reported_at_ = now;
     holder_.meter().Fill(report);
     report->service_seconds = std::chrono::duration<double>(gate_.ServiceTime()).count();
     report->slots = gate_.load().slots;
@@ -186,7 +192,7 @@
         Listen(&metrics_server_, settings_.metrics, "metrics")}) {
     if (!status.ok()) return status;
   }
-  // Other nodes keep their connections longer than clients do.
+  // Other nodes keep their connections open for longer than clients.
   inbound_.limits().max_head_bytes = size_t{64} * 1024;
   inbound_.limits().idle_timeout = std::chrono::minutes(2);
   log_.Write(LogLevel::kInfo, "started",
@@ -195,8 +201,8 @@
               {"service", settings_.worker_service},
               {"incarnation", incarnation_},
               {"first_start", settings_.first_start}});
-  rolled_at_ = loop_.Now();
-  load_rolled_at_ = rolled_at_;
+  last_tick_at_ = loop_.Now();
+  load_reported_at_ = last_tick_at_;
   tick_.Start(kTickInterval);
   configuration_watcher_.Start();
   Announce();
@@ -207,8 +213,9 @@
   return absl::OkStatus();
 }
 
-// What nodes wrote since the copy is gone, their leases too. Whoever follows another node's changes
-// gets the present state from it; this node's own lease has the state read in any case.
+// Everything written since the backup is lost, including leases. Watchers that follow another node
+// receive the current state from it. The state is read again in any case when this node acquires a
+// new lease.
 void Sidecar::OnStoreRestored(store::StoreEra former, store::StoreEra present) {
   log_.Write(LogLevel::kWarning, "store_restored", {{"former_era", former}, {"era", present}});
   lease_.OnStoreRestored();
@@ -221,12 +228,12 @@
   }
 }
 
-void Sidecar::OnStoreSilent() {
+void Sidecar::OnStoreUnresponsive() {
   log_.Write(LogLevel::kInfo, "store_connections_silent", {{"store_calls", store_.calls()}});
   store_.CloseIdleConnections();
-  lease_.RenewAgain();
-  configuration_watcher_.WatchAgain();
-  state_watcher_.WatchAgain();
+  lease_.ResendRenewal();
+  configuration_watcher_.RestartWatch();
+  state_watcher_.RestartWatch();
 }
 
 void Sidecar::OnWatchUnanswered(const store::PrefixWatcher& watcher,
@@ -237,11 +244,12 @@
               {"waited_ms", ToMilliseconds(watch.waited)},
               {"asked_again", watch.asked_again},
               {"leading", feed_.leading()}});
-  // Where the store is not slow, the connection fell silent, and others may have with it. The idle
-  // ones are closed by now, so that no later call would find out.
+  // If the store is not slow, the connection is dead, and other connections may be too. Idle
+  // connections are closed by now, so no later call would detect a dead connection of the other
+  // watch.
   if (!store_.answers_promptly()) return;
   for (store::PrefixWatcher* other : {&configuration_watcher_, &state_watcher_}) {
-    if (other != &watcher) other->WatchAgain();
+    if (other != &watcher) other->RestartWatch();
   }
 }
 
@@ -265,8 +273,8 @@
       settings->worker == settings_.worker && settings->store == settings_.store;
   settings_.bounds = settings->bounds;
   log_.Write(same_addresses ? LogLevel::kInfo : LogLevel::kWarning, "reloaded",
-             {{"bounds", "taken over"},
-              {"addresses", same_addresses ? "unchanged" : "changed; they need a restart"}});
+             {{"bounds", "applied"},
+              {"addresses", same_addresses ? "unchanged" : "changed; restart required"}});
 }
 
 bool Sidecar::ready() const {
@@ -312,7 +320,7 @@
   gauges.quarantine_trials = quarantine_.trials();
   gauges.log_lines_dropped = log_.dropped();
   gauges.freshness = feed_.FreshnessOfState();
-  gauges.silence_of_others = feed_.TimeSinceLastBeacon();
+  gauges.since_peer_beacon = feed_.TimeSinceLastBeacon();
   http::Headers headers;
   headers.Add("Content-Type", "text/plain; version=0.0.4");
   exchange->Respond(kOk, headers, metrics_.Serialize(gauges));
@@ -363,24 +371,25 @@
       peers_.OnRecord(*record);
       quarantine_.OnWorkerAt(record->node, record->worker_id);
     } else {
-      RefuseItem(item, "no record of this node");
+      LogRefusedItem(item, "not a valid record of the node named by the key");
     }
     ingress_.OnShardsChanged();
     return;
   }
   if (const auto key = ShardMapKey::Parse(item.key); key.has_value()) {
-    if (!shard_directory_.OnItem(*key, item)) RefuseItem(item, "no shard map");
+    if (!shard_directory_.OnItem(*key, item)) LogRefusedItem(item, "not a valid shard map");
     if (shard_store_.OnItem(item)) holder_.OnMapChanged();
     ingress_.OnShardsChanged();
     return;
   }
   if (RequestQuarantine::IsItemKey(item.key)) {
-    if (!quarantine_.OnItem(item)) RefuseItem(item, "no record of a worker's end or a quarantine");
+    if (!quarantine_.OnItem(item))
+      LogRefusedItem(item, "not a valid record of a worker's end or of a quarantined request");
     return;
   }
   if (FormerGrants::IsItemKey(item.key)) return former_grants_.OnItem(item);
   if (CrashHistoryRecord::IsItemKey(item.key)) {
-    if (!memory_.OnItem(item)) RefuseItem(item, "no record of the fleet's memory");
+    if (!memory_.OnItem(item)) LogRefusedItem(item, "not a valid memory record");
     return;
   }
   if (TableOverrides::IsCellKey(item.key)) {
@@ -396,8 +405,8 @@
   }
 }
 
-// Another writer may have put it there. What was known before holds on.
-void Sidecar::RefuseItem(const store::Item& item, const char* reason) {
+// The item may come from another writer. The value known before remains in force.
+void Sidecar::LogRefusedItem(const store::Item& item, const char* reason) {
   log_.Write(LogLevel::kError, "state_item_refused",
              {{"key", item.key},
               {"revision", store::RevisionText(item.revision)},
@@ -419,9 +428,10 @@
   }
 }
 
-// Each node writes its own item again, and one of them the shard map.
+// Node records, shard maps, the memory record and former grants are excluded from the lost items:
+// each node writes its own record again, and one node the shard map.
 void Sidecar::OnStateEraBegan(const store::EraChange& change) {
-  // The store itself may not have told this process of that era yet.
+  // The new era may have been announced by a peer before a response of the store stated it.
   const store::StoreEra era = store::EraOf(change.revision);
   former_grants_.OnEraBegan(era);
   std::map<std::string, store::Item> former = change.former;
@@ -448,7 +458,7 @@
   lost_items_.OnWritten(item);
 }
 
-std::optional<double> Sidecar::RateOf(const std::string& caller_class) {
+std::optional<double> Sidecar::LocalRateLimit(const std::string& caller_class) {
   const table::CellValue* cell = table_.Find(settings_.worker_service, caller_class);
   if (cell == nullptr || !cell->limit.has_value()) return std::nullopt;
   const size_t nodes =
@@ -472,12 +482,12 @@
   gate_.SetDraining(state == WorkerState::kDraining,
                     monitor_.draining_since() + settings_.bounds.drain_timeout - kDrainSendMargin);
   holder_.SetWorker(worker, former_gone);
-  holder_.SetLeaving(LeavesKeys());
+  holder_.SetLeaving(ShouldReleaseKeys());
   Announce();
 }
 
-// Which requests end their workers can be told from these lines alone: it is at work under each
-// end.
+// These log lines are sufficient to find a request that crashes workers: it is being executed
+// whenever one ends.
 void Sidecar::OnWorkerEnded(const std::string& worker_id) {
   const auto at_work = gate_.TakeInFlight(worker_id);
   if (at_work.empty()) return;
@@ -494,14 +504,14 @@
   quarantine_.OnWorkerEnded(worker_id, at_work);
 }
 
-void Sidecar::TellOthers(const std::string& worker_end) {
+void Sidecar::BroadcastWorkerEnd(const std::string& worker_end) {
   std::vector<event::Endpoint> others;
   for (const auto& [node, peer] : peers_.peers()) {
     if (node != settings_.node_name) others.push_back(peer.record.inbound);
   }
-  const size_t writers = std::min(others.size(), kEndWriters);
+  const size_t writers = std::min(others.size(), kWorkerEndWriters);
   for (size_t index = 0; index < others.size(); ++index) {
-    // The first ones are drawn among all.
+    // The writers are chosen at random from all other nodes.
     if (index < writers) {
       std::swap(others[index], others[index + random_.Below(others.size() - index)]);
     }
@@ -509,9 +519,9 @@
     head.method = "POST";
     head.target = "/worker-end";
     peer_protocol::MarkWorkerEnd(/*write=*/index < writers, &head.headers);
-    told_ends_.Start(others[index], http::SerializeRequest(head, worker_end),
-                     http::CallOptions(http::AnswerMatch::InOrder(), "worker_end"), kTellTimeout,
-                     [](const std::optional<http::Response>&) {});
+    worker_end_calls_.Start(others[index], http::SerializeRequest(head, worker_end),
+                            http::CallOptions(http::AnswerMatch::InOrder(), "worker_end"),
+                            kWorkerEndCallTimeout, [](const std::optional<http::Response>&) {});
   }
 }
 
@@ -533,31 +543,33 @@
   lease_.SetValue(record.Serialize());
 }
 
-// In the store, and to this node's own choice of workers; the others learn it with answers too.
+// Announces the stop in the store and to this node's own choice of workers. Other nodes also learn
+// of it from responses.
 void Sidecar::AnnounceStop() {
   Announce();
   std::optional<StopNotice> notice = stop_schedule_.Notice(loop_.Now());
-  // What this node still takes itself, its own worker may run when no other can.
+  // Requests that this node still accepts may be executed by its own worker if no other can.
   if (notice.has_value()) notice->takes_requests = notice->ends;
   peers_.OnStopNotice(loop_.Now(), settings_.node_name, notice);
-  if (!holder_.OwnsNoShards() && !LeavesKeys()) lease_.RenewNow();
-  holder_.SetLeaving(LeavesKeys());
+  if (!holder_.OwnsNoShards() && !ShouldReleaseKeys()) lease_.RenewNow();
+  holder_.SetLeaving(ShouldReleaseKeys());
 }
 
-// A node that stops keeps its keys until the store has answered since: before, they could be handed
-// over to nobody, and released they would be served by nobody.
-bool Sidecar::LeavesKeys() const {
+// A stopping node keeps its keys until the store has responded after the stop began. Before that,
+// the keys could not be handed over, and if released, no node would serve them.
+bool Sidecar::ShouldReleaseKeys() const {
   return monitor_.state() == WorkerState::kDraining || stop_schedule_.BegunBy(lease_.renewed_at());
 }
 
-// Others may take the shards of a node as soon as its item is gone. While the worker may still hold
-// keys, the item stays until the lease runs out, which no grant outlasts.
+// Other nodes may take over the shards of a node as soon as its item is removed. While the worker
+// may still hold keys, the item therefore stays until the lease expires; all grants expire earlier.
 void Sidecar::EndLease() {
   if (!holder_.WorkerMayHoldKeys()) lease_.End();
 }
 
 Instant Sidecar::AuthorityUntil() const {
-  // Until the map is carried over into the present era, the lease of the former one backs it.
+  // Until the shard map has been carried over to the current era, it is backed by the lease of the
+  // former era.
   if (!shard_store_.IsOfCurrentEra()) return lease_.ValidUntilIn(shard_store_.era());
   if (confirmed_lease_ == 0 || confirmed_lease_ != lease_.lease()) return Instant{};
   return lease_.ValidUntil();
@@ -584,20 +596,20 @@
 
 void Sidecar::OnTick() {
   const Instant now = loop_.Now();
-  const Duration elapsed = now - rolled_at_;
-  rolled_at_ = now;
+  const Duration elapsed = now - last_tick_at_;
+  last_tick_at_ = now;
   tick_.Start(kTickInterval);
   peers_.Sweep(now);
   Announce();
   if (now - traffic_logged_at_ >= kTrafficLogInterval) LogTraffic();
-  if (elapsed > kPauseNoticed) {
+  if (elapsed > kPauseThreshold) {
     log_.Write(LogLevel::kWarning, "paused", {{"elapsed_ms", ToMilliseconds(elapsed)}});
     state_watcher_.Refresh();
     configuration_watcher_.Refresh();
   }
 }
 
-// Sums since the process started.
+// Logs totals since the process started.
 void Sidecar::LogTraffic() {
   traffic_logged_at_ = loop_.Now();
   const store::StoreCallCounts& calls = store_.call_counts();
@@ -608,7 +620,7 @@
               {"store_transactions", calls.transactions},
               {"store_leases", calls.leases},
               {"store_renewals", calls.renewals},
-              {"store_passed_on", calls.passed_on}});
+              {"store_passed_on", calls.forwarded_for_peers}});
 }
 
 void Sidecar::OnLoopTurn(Duration turn) {
--- a/source/store/blocking_store.cc
+++ b/source/store/blocking_store.cc
@@ -13,11 +13,13 @@
   return config;
 }
 
-std::string InnerKey(const std::string& key) { return key.starts_with('/') ? key.substr(1) : key; }
+std::string KeyWithoutSlash(const std::string& key) {
+  return key.starts_with('/') ? key.substr(1) : key;
+}
 
-std::string OuterKey(const std::string& key) { return "/" + key; }
+std::string KeyWithSlash(const std::string& key) { return "/" + key; }
 
-// Starts an operation and runs the loop until its callback was called.
+// Starts an operation and runs the loop until its callback is called.
 template <typename Result>
 Result Await(event::EventLoop& loop,
              const std::function<void(std::function<void(Result)>)>& start) {
@@ -45,12 +47,12 @@
   infrastructure::RangeResult result;
   std::string after_key;
   while (true) {
-    const absl::StatusOr<RangePage> page = ReadPage(InnerKey(prefix), after_key);
+    const absl::StatusOr<RangePage> page = ReadPage(KeyWithoutSlash(prefix), after_key);
     if (!page.ok()) return page.status();
     if (result.revision == 0) result.revision = page->revision;
     for (const Item& item : page->items) {
       infrastructure::KeyValue key_value;
-      key_value.key = OuterKey(item.key);
+      key_value.key = KeyWithSlash(item.key);
       key_value.value = item.value;
       key_value.mod_revision = item.revision;
       key_value.lease = item.lease;
@@ -65,24 +67,25 @@
     const std::vector<infrastructure::Condition>& conditions,
     const std::vector<infrastructure::Write>& writes) {
   if (conditions.size() + writes.size() > kMaxTransactionEntries) {
-    return absl::InvalidArgumentError("more entries than a transaction of the store may have");
+    return absl::InvalidArgumentError(
+        "transaction has more conditions and writes than the store allows");
   }
   Transaction transaction;
   for (const infrastructure::Condition& condition : conditions) {
-    transaction.conditions.push_back({InnerKey(condition.key), condition.mod_revision});
+    transaction.conditions.push_back({KeyWithoutSlash(condition.key), condition.mod_revision});
   }
   for (const infrastructure::Write& write : writes) {
     if (write.value.has_value()) {
-      transaction.puts.push_back({InnerKey(write.key), *write.value, write.lease});
+      transaction.puts.push_back({KeyWithoutSlash(write.key), *write.value, write.lease});
     } else {
-      transaction.removals.push_back(InnerKey(write.key));
+      transaction.removals.push_back(KeyWithoutSlash(write.key));
     }
   }
   const auto committed = Await<absl::StatusOr<CommitResult>>(
       loop_, [&](auto callback) { client_.Commit(transaction, std::move(callback)); });
   if (!committed.ok()) return committed.status();
   if (committed->outcome == CommitOutcome::kLeaseEnded) {
-    return absl::UnavailableError("the lease of the record has ended");
+    return absl::UnavailableError("the lease of the record has expired");
   }
   infrastructure::CommitResult result;
   result.succeeded = committed->outcome == CommitOutcome::kCommitted;
@@ -115,7 +118,7 @@
     const std::string&, int64_t,
     const std::function<void(int64_t, const std::vector<infrastructure::WatchEvent>&)>&,
     const std::function<bool()>&) {
-  return absl::UnimplementedError("tools do not watch the store");
+  return absl::UnimplementedError("BlockingStore does not support watches");
 }
 
 }  // namespace runshelf::store
