--- a/source/sidecar/ingress.h
+++ b/source/sidecar/ingress.h
@@ -12,9 +12,9 @@
 #include "runshelf/routing/retry_budget.h"
 #include "source/http/server.h"
 #include "source/routes/routing_configuration.h"
+#include "source/sidecar/deadline_estimator.h"
 #include "source/sidecar/log_writer.h"
 #include "source/sidecar/node_metrics.h"
-#include "source/sidecar/patience_meter.h"
 #include "source/sidecar/peer_directory.h"
 #include "source/sidecar/request_counts.h"
 #include "source/sidecar/request_quarantine.h"
@@ -99,8 +99,8 @@
   ServiceBudgets& BudgetsOf(const std::string& service);
   void OnFirstAttempt(const std::string& service);
   // The caller has much less time than callers of the route usually have.
-  bool IsShortOfTime(const std::string& route, Duration deadline) {
-    return patience_[route].IsShort(deadline);
+  bool IsShortDeadline(const std::string& route, Duration deadline) {
+    return deadline_estimators_[route].IsShort(deadline);
   }
   // False: the request must not be sent to another worker.
   bool TakeRetry(const std::string& service, RetryKind kind);
@@ -109,7 +109,7 @@
   std::shared_ptr<const routes::RoutingConfiguration> configuration_;
   std::function<bool()> configuration_is_behind_;
   std::map<std::string, ServiceBudgets> budgets_;
-  std::map<std::string, PatienceMeter> patience_;  // By route.
+  std::map<std::string, DeadlineEstimator> deadline_estimators_;  // By route.
   // Requests that run alone and are under way.
   uint64_t retries_ = 0;
   uint64_t refused_in_stop_ = 0;
--- a/source/sidecar/request_flow.cc
+++ b/source/sidecar/request_flow.cc
@@ -63,13 +63,13 @@
   request.head.headers.RemoveConnectionHeaders();
   if (const std::string* id = request.head.headers.Find(names.request_id)) request_id_ = *id;
   Duration allowed = route_.timeout.value_or(kDefaultTimeout);
-  bool short_of_time = false;
+  bool short_deadline = false;
   if (const std::string* text = request.head.headers.Find(names.deadline)) {
     const auto milliseconds = http::ParseNumber(*text);
     if (milliseconds.has_value()) {
-      const Duration patience = std::chrono::milliseconds(*milliseconds);
-      short_of_time = ingress_->IsShortOfTime(route_.name, patience);
-      allowed = std::min(allowed, patience);
+      const Duration caller_timeout = std::chrono::milliseconds(*milliseconds);
+      short_deadline = ingress_->IsShortDeadline(route_.name, caller_timeout);
+      allowed = std::min(allowed, caller_timeout);
     }
   }
   if (const std::string* text = request.head.headers.Find(names.shard_key)) {
@@ -78,8 +78,9 @@
       key_ = static_cast<sharding::ShardKey>(*key);
     }
   }
-  times_ = TimesOf({exchange_->received(), allowed,
-                    route_.target_latency.value_or(kDefaultTargetLatency), nested_, short_of_time});
+  times_ = ComputeRequestTimes({exchange_->received(), allowed,
+                                route_.target_latency.value_or(kDefaultTargetLatency), nested_,
+                                short_deadline});
   request_ = std::make_shared<const http::Request>(std::move(request));
 }
 
@@ -348,7 +349,7 @@
 void RequestFlow::WaitForOwner(FailureReason reason) {
   // Only keys that change hands are certain to be served again soon.
   const Instant wait_until =
-      reason == FailureReason::kNotOwner ? times_.await_move_by : times_.refuse_by;
+      reason == FailureReason::kNotOwner ? times_.wait_for_handover_by : times_.refuse_by;
   const Duration poll = std::min(kOwnerPollMin * (1 + owner_waits_), kOwnerPollMax);
   if (context_.loop.Now() + kOwnerPollMin >= wait_until) {
     // Keys change hands within about a heartbeat: half of one is left on average.
--- a/source/sidecar/request_times.h
+++ b/source/sidecar/request_times.h
@@ -6,21 +6,21 @@
 namespace runshelf::sidecar {
 
 // What they follow from.
-struct RequestPatience {
+struct RequestTimeLimits {
   Instant received;
-  Duration allowed{0};         // The sooner of the caller's and the route's time.
-  Duration target_latency{0};  // An answer within it is worth most.
-  bool nested = false;         // A call that the worker beside the node makes during a run.
-  bool short_of_time = false;  // The caller has much less time than others: it cannot come back.
+  Duration allowed{0};          // The sooner of the caller's and the route's time.
+  Duration target_latency{0};   // An answer within it is worth most.
+  bool nested = false;          // A call that the worker beside the node makes during a run.
+  bool short_deadline = false;  // The caller has much less time than others: it cannot come back.
 };
 
 struct RequestTimes {
   Instant deadline{};
-  Instant answer_by{};      // A later answer is worth little.
-  Instant refuse_by{};      // Waits without being offered to a worker end then.
-  Instant await_move_by{};  // The same while keys are known to be changing hands.
+  Instant answer_by{};             // A later answer is worth little.
+  Instant refuse_by{};             // Waits without being offered to a worker end then.
+  Instant wait_for_handover_by{};  // The same while keys are known to be changing hands.
 };
 
-RequestTimes TimesOf(const RequestPatience& patience);
+RequestTimes ComputeRequestTimes(const RequestTimeLimits& limits);
 
 }  // namespace runshelf::sidecar
