--- a/source/sidecar/inbound_handler.cc
+++ b/source/sidecar/inbound_handler.cc
@@ -93,7 +93,7 @@
                          {{"request", request_id_},
                           {"reason", "stopping"},
                           {"answering", relay_.streaming()},
-                          {"running", handler_->gate_.Runs(request_id_)},
+                          {"running", handler_->gate_.IsRunning(request_id_)},
                           {"worker", handler_->gate_.worker_id()}});
   }
 
@@ -186,7 +186,7 @@
 // may run is taken for as long as the worker holds its key.
 bool InboundHandler::Takes(const AttemptRequest& attempt) const {
   if (!stop_.EndsInTime(attempt.deadline)) return false;
-  return stop_.TakesNewRequests(loop_.Now()) || gate_.BoundByKey(attempt);
+  return stop_.TakesNewRequests(loop_.Now()) || gate_.RequiresKeyOwner(attempt);
 }
 
 void InboundHandler::AddNodeState(http::Headers* headers) const {
--- a/source/sidecar/ingress.cc
+++ b/source/sidecar/ingress.cc
@@ -103,7 +103,7 @@
   const std::string* id = head.headers.Find(context_.wire.headers().request_id);
   if (id == nullptr) return false;
   const std::string_view parent = context_.wire.ParentRequestId(*id);
-  return !parent.empty() && context_.gate.Runs(std::string(parent));
+  return !parent.empty() && context_.gate.IsRunning(std::string(parent));
 }
 
 void Ingress::RetryWaiting() {
--- a/source/sidecar/sidecar.cc
+++ b/source/sidecar/sidecar.cc
@@ -111,7 +111,7 @@
                         outbound_.StopListening();
                       }}) {
   gate_.set_key_authority(&holder_);
-  gate_.set_evidence(&monitor_);
+  gate_.set_worker_observer(&monitor_);
   gate_.set_quarantine(&quarantine_);
   memory_.set_on_changed([this] { OnMemoryChanged(); });
   quarantine_.set_end_teller([this](const std::string& message) { TellOthers(message); });
--- a/source/sidecar/worker_gate.cc
+++ b/source/sidecar/worker_gate.cc
@@ -44,7 +44,7 @@
     call_.reset();
     if (registered_) {
       // The caller left, while the worker may be at work.
-      if (sent_) gate_->NoteInterrupted(request_, sent_at_, /*by_caller=*/true);
+      if (sent_) gate_->RecordInterrupted(request_, sent_at_, /*by_caller=*/true);
       Unregister();
       gate_->Withdraw(id_, sent_, Elapsed());
     }
@@ -55,14 +55,14 @@
   bool sent() const { return sent_; }
 
   void Begin() override {
-    if (const auto objection = gate_->Objection(request_)) {
-      Fail({Verdict::kNotRun, *objection, false, Duration(0)});
+    if (const auto rejection = gate_->RejectionReason(request_)) {
+      Fail({Verdict::kNotRun, *rejection, false, Duration(0)});
       return;
     }
     if (request_.key.has_value() && gate_->key_authority_ != nullptr) {
       gate_->key_authority_->OnKeyOffered(*request_.key);
     }
-    if (const Duration wait = gate_->LimitWait(request_.caller_class); wait > Duration(0)) {
+    if (const Duration wait = gate_->RateLimitDelay(request_.caller_class); wait > Duration(0)) {
       Fail({Verdict::kNotRun, FailureReason::kLimited, false, wait});
       return;
     }
@@ -83,11 +83,11 @@
   // A slot is free.
   void Send() {
     const Instant now = gate_->loop_.Now();
-    auto objection = gate_->Objection(request_);
-    if (!objection.has_value() && observer_->CallerGone()) objection = FailureReason::kCallerGone;
-    if (objection.has_value()) {
-      GiveBackSlot(admission::Completion::kFailed);
-      Fail({Verdict::kNotRun, *objection, false, Duration(0)});
+    auto rejection = gate_->RejectionReason(request_);
+    if (!rejection.has_value() && observer_->CallerGone()) rejection = FailureReason::kCallerGone;
+    if (rejection.has_value()) {
+      ReleaseSlot(admission::Completion::kFailed);
+      Fail({Verdict::kNotRun, *rejection, false, Duration(0)});
       return;
     }
     sent_ = true;
@@ -113,11 +113,11 @@
   void OnResponseHead(http::ResponseHead&& head) override {
     const HeaderNames& names = gate_->wire_.headers();
     if (head.status == kMisdirected) {
-      NoteMisdirected(head);
+      HandleMisdirected(head);
       return;
     }
     // Each request names the worker that is meant, and any other one says 421.
-    NoteAnswer();
+    ReportAnswer();
     if (head.headers.Has(names.not_executed)) {
       refusal_ = FailureReason::kWorkerRefused;
       overloaded_ = head.status == kServiceUnavailable;
@@ -139,21 +139,21 @@
 
   void OnResponseComplete() override {
     if (refusal_.has_value()) {
-      GiveBackSlot(overloaded_ ? admission::Completion::kShed : admission::Completion::kFailed);
+      ReleaseSlot(overloaded_ ? admission::Completion::kShed : admission::Completion::kFailed);
       Fail({Verdict::kNotRun, *refusal_, true, Duration(0)});
       return;
     }
-    gate_->NoteGoodRun(request_, status_);
-    GiveBackSlot(admission::Completion::kServed);
+    gate_->RecordCompletedRun(request_, status_);
+    ReleaseSlot(admission::Completion::kServed);
     observer_->OnAnswerComplete();
   }
 
   void OnClientFailure(http::ClientFailure failure) override {
-    if (gate_->evidence_ != nullptr) gate_->evidence_->OnWorkerUnreachable();
+    if (gate_->worker_observer_ != nullptr) gate_->worker_observer_->OnWorkerUnreachable();
     if (!http::CertainlyNotSent(failure) && !refusal_.has_value()) {
-      gate_->NoteInterrupted(request_, sent_at_, /*by_caller=*/false);
+      gate_->RecordInterrupted(request_, sent_at_, /*by_caller=*/false);
     }
-    GiveBackSlot(admission::Completion::kFailed);
+    ReleaseSlot(admission::Completion::kFailed);
     if (http::CertainlyNotSent(failure)) {
       Fail({Verdict::kNotRun, FailureReason::kUnreachable, false, Duration(0)});
     } else if (refusal_.has_value()) {
@@ -166,32 +166,33 @@
   }
 
  private:
-  void NoteAnswer() {
-    if (gate_->evidence_ == nullptr) return;
-    gate_->evidence_->OnWorkerAnswered(
+  void ReportAnswer() {
+    if (gate_->worker_observer_ == nullptr) return;
+    gate_->worker_observer_->OnWorkerAnswered(
         sent_at_, call_ == nullptr ? Instant::max() : call_->connection_made_at());
   }
 
   // Whatever it is, the worker does not vouch for it; and the request was sent.
   void FailUnstamped() {
-    if (gate_->evidence_ != nullptr) {
-      gate_->evidence_->OnUnstampedSuccess(request_.request_id, call_->on_reused_connection());
+    if (gate_->worker_observer_ != nullptr) {
+      gate_->worker_observer_->OnUnstampedSuccess(request_.request_id,
+                                                  call_->on_reused_connection());
     }
     call_.reset();
     // The worker may be at work on the request.
-    gate_->NoteInterrupted(request_, sent_at_, /*by_caller=*/true);
-    GiveBackSlot(admission::Completion::kFailed);
+    gate_->RecordInterrupted(request_, sent_at_, /*by_caller=*/true);
+    ReleaseSlot(admission::Completion::kFailed);
     Fail({Verdict::kMayHaveRun, FailureReason::kUnstamped, true, Duration(0)});
   }
 
-  void NoteMisdirected(const http::ResponseHead& head) {
+  void HandleMisdirected(const http::ResponseHead& head) {
     const std::string* other = head.headers.Find(gate_->wire_.headers().worker_id);
     if (other != nullptr && *other != gate_->wire_.StatedIdentity(gate_->worker_id_)) {
       refusal_ = FailureReason::kWrongWorker;
-      if (gate_->evidence_ != nullptr) gate_->evidence_->OnOtherWorker(*other);
+      if (gate_->worker_observer_ != nullptr) gate_->worker_observer_->OnOtherWorker(*other);
       return;
     }
-    if (other != nullptr) NoteAnswer();
+    if (other != nullptr) ReportAnswer();
     if (request_.key.has_value() && gate_->key_authority_ != nullptr) {
       refusal_ = FailureReason::kNotOwner;
       gate_->key_authority_->OnKeyRefused(*request_.key);
@@ -211,11 +212,11 @@
   void Unregister() {
     registered_ = false;
     gate_->attempts_.erase(id_);
-    if (sent_) gate_->ForgetRunning(request_.request_id);
+    if (sent_) gate_->EraseRunning(request_.request_id);
     timer_.Stop();
   }
 
-  void GiveBackSlot(admission::Completion completion) {
+  void ReleaseSlot(admission::Completion completion) {
     if (!registered_) return;
     Unregister();
     gate_->OnSlotFree(id_, completion, Elapsed());
@@ -268,12 +269,12 @@
   return std::make_unique<GateAttempt>(this, request, observer);
 }
 
-bool WorkerGate::BoundByKey(const AttemptRequest& request) const {
+bool WorkerGate::RequiresKeyOwner(const AttemptRequest& request) const {
   return request.key.has_value() && key_authority_ != nullptr &&
          key_authority_->Sharded().value_or(false);
 }
 
-std::optional<FailureReason> WorkerGate::Objection(const AttemptRequest& request) const {
+std::optional<FailureReason> WorkerGate::RejectionReason(const AttemptRequest& request) const {
   if (closed_) return FailureReason::kStopping;
   if (worker_id_.empty()) return FailureReason::kNoWorker;
   if (request.service != service_) return FailureReason::kWrongWorker;
@@ -285,7 +286,7 @@
   // Without a configuration nobody here knows whether the worker must hold the key.
   const bool known = key_authority_ == nullptr || key_authority_->Sharded().has_value();
   if (!known && request.key.has_value()) return FailureReason::kNoWorker;
-  if (BoundByKey(request)) {
+  if (RequiresKeyOwner(request)) {
     // A draining worker serves its keys until they have been handed over, for as long as allowed.
     if (draining_ && loop_.Now() >= drain_keys_until_) return FailureReason::kDraining;
     if (!key_authority_->MaySend(loop_.Now(), *request.key)) return FailureReason::kNotOwner;
@@ -295,7 +296,7 @@
   return std::nullopt;
 }
 
-Duration WorkerGate::LimitWait(const std::string& caller_class) {
+Duration WorkerGate::RateLimitDelay(const std::string& caller_class) {
   if (!rate_source_) return Duration(0);
   const std::optional<double> rate = rate_source_(caller_class);
   if (!rate.has_value()) return Duration(0);
@@ -342,18 +343,18 @@
   }
 }
 
-void WorkerGate::ForgetRunning(const std::string& request_id) {
+void WorkerGate::EraseRunning(const std::string& request_id) {
   const auto found = running_ids_.find(request_id);
   if (found != running_ids_.end()) running_ids_.erase(found);
 }
 
-void WorkerGate::NoteInterrupted(const AttemptRequest& request, Instant sent_at, bool by_caller) {
+void WorkerGate::RecordInterrupted(const AttemptRequest& request, Instant sent_at, bool by_caller) {
   interrupted_.Add({FingerprintOfAttempt(request), DescribeRequest(*request.request),
                     request.request_id, worker_id_, sent_at, loop_.Now(), by_caller});
 }
 
 RequestFingerprint WorkerGate::FingerprintOfAttempt(const AttemptRequest& request) const {
-  return FingerprintOf(*request.request, BoundByKey(request) ? request.key : std::nullopt);
+  return FingerprintOf(*request.request, RequiresKeyOwner(request) ? request.key : std::nullopt);
 }
 
 bool WorkerGate::Quarantined(const AttemptRequest& request) const {
@@ -364,16 +365,16 @@
   if (!request.trial && quarantine_->IsQuarantined(fingerprint, request.excused_ends)) return true;
   // Requests that waited for the worker together would each be a run that ends it. For an innocent
   // one this lasts until its first good run here.
-  return IsAtWork(fingerprint);
+  return IsRunningAtWorker(fingerprint);
 }
 
-bool WorkerGate::IsAtWork(const RequestFingerprint& fingerprint) const {
+bool WorkerGate::IsRunningAtWorker(const RequestFingerprint& fingerprint) const {
   return std::any_of(attempts_.begin(), attempts_.end(), [&](const auto& entry) {
     return entry.second->sent() && FingerprintOfAttempt(entry.second->request()) == fingerprint;
   });
 }
 
-void WorkerGate::NoteGoodRun(const AttemptRequest& request, int status) {
+void WorkerGate::RecordCompletedRun(const AttemptRequest& request, int status) {
   if (quarantine_ == nullptr || !quarantine_->watches_any() || status == kGatewayTimeout) return;
   quarantine_->OnGoodRun(FingerprintOfAttempt(request));
 }
@@ -416,10 +417,10 @@
   for (const uint64_t id : waiting) {
     const auto found = attempts_.find(id);
     if (found == attempts_.end()) continue;
-    const auto objection = Objection(found->second->request());
-    if (!objection.has_value()) continue;
+    const auto rejection = RejectionReason(found->second->request());
+    if (!rejection.has_value()) continue;
     queue_.Cancel(id);
-    found->second->Refuse(*objection, Duration(0));
+    found->second->Refuse(*rejection, Duration(0));
   }
 }
 
--- a/source/sidecar/worker_gate.h
+++ b/source/sidecar/worker_gate.h
@@ -36,9 +36,9 @@
 };
 
 // What the gate learns about the worker, from its answers.
-class WorkerEvidence {
+class WorkerObserver {
  public:
-  virtual ~WorkerEvidence() = default;
+  virtual ~WorkerObserver() = default;
   // The worker answered a request that was sent to it at `sent`, and to no other, on a connection
   // that was made at `connection_made`.
   virtual void OnWorkerAnswered(Instant sent, Instant connection_made) = 0;
@@ -59,7 +59,7 @@
   WorkerGate& operator=(const WorkerGate&) = delete;
 
   void set_key_authority(KeyAuthority* authority) { key_authority_ = authority; }
-  void set_evidence(WorkerEvidence* evidence) { evidence_ = evidence; }
+  void set_worker_observer(WorkerObserver* observer) { worker_observer_ = observer; }
 
   // Requests a second that a caller class may send to this worker; nullopt: as many as it likes.
   using RateSource = std::function<std::optional<double>(const std::string& caller_class)>;
@@ -77,7 +77,7 @@
   void SetColdUntil(Instant cold_until) { cold_until_ = cold_until; }
 
   // No other worker may run the request: its key decides.
-  bool BoundByKey(const AttemptRequest& request) const;
+  bool RequiresKeyOwner(const AttemptRequest& request) const;
   std::unique_ptr<Attempt> Submit(const AttemptRequest& request, AttemptObserver* observer);
 
   routing::TargetLoad load() const;
@@ -85,7 +85,7 @@
   Duration ServiceTime() const { return queue_.ServiceTime(); }
   const std::string& worker_id() const { return worker_id_; }
   // True while the worker is at work on the request with this id, as far as the gate knows.
-  bool Runs(const std::string& request_id) const { return running_ids_.contains(request_id); }
+  bool IsRunning(const std::string& request_id) const { return running_ids_.contains(request_id); }
   size_t running() const { return queue_.running(); }
   // The worker has ended: the requests that were at work in it then. Each is told once.
   std::vector<InterruptedRequest> TakeAtWork(const std::string& worker_id) {
@@ -100,19 +100,19 @@
   // In quarantine, and no trial; or a suspect that is at work in the worker. The node that took the
   // request may not know of it.
   bool Quarantined(const AttemptRequest& request) const;
-  bool IsAtWork(const RequestFingerprint& fingerprint) const;
-  void NoteGoodRun(const AttemptRequest& request, int status);
+  bool IsRunningAtWorker(const RequestFingerprint& fingerprint) const;
+  void RecordCompletedRun(const AttemptRequest& request, int status);
   // Zero: the class is below its limit, and one request of it was counted.
-  Duration LimitWait(const std::string& caller_class);
+  Duration RateLimitDelay(const std::string& caller_class);
   void Apply(const admission::AdmissionChanges& changes);
   void OnSlotFree(uint64_t id, admission::Completion completion, Duration service_time);
   void Withdraw(uint64_t id, bool sent, Duration service_time);
   // Why a request may not be sent to the worker now; nullopt: it may.
-  std::optional<FailureReason> Objection(const AttemptRequest& request) const;
+  std::optional<FailureReason> RejectionReason(const AttemptRequest& request) const;
   void RefuseWaiting();
-  void ForgetRunning(const std::string& request_id);
+  void EraseRunning(const std::string& request_id);
   // The connection on which the request was sent at `sent_at` went without its answer.
-  void NoteInterrupted(const AttemptRequest& request, Instant sent_at, bool by_caller);
+  void RecordInterrupted(const AttemptRequest& request, Instant sent_at, bool by_caller);
   void ScheduleTick();
 
   event::EventLoop& loop_;
@@ -120,7 +120,7 @@
   const WireFormat& wire_;
   event::Endpoint worker_;
   KeyAuthority* key_authority_ = nullptr;
-  WorkerEvidence* evidence_ = nullptr;
+  WorkerObserver* worker_observer_ = nullptr;
   RateSource rate_source_;
   RequestQuarantine* quarantine_ = nullptr;
   ClassLimiter limiter_;
--- a/source/sidecar/worker_monitor.h
+++ b/source/sidecar/worker_monitor.h
@@ -23,7 +23,7 @@
 
 // A worker's notice that it leaves binds every later life of this node, so it is written to the
 // store before it is acknowledged.
-class WorkerMonitor : public WorkerEvidence {
+class WorkerMonitor : public WorkerObserver {
  public:
   struct Observer {
     // Identity, state or slots changed, or none was found after a start; `former_gone`: the former
--- a/tests/platform_adapter/worker_gate_test.cc
+++ b/tests/platform_adapter/worker_gate_test.cc
@@ -29,7 +29,7 @@
   std::optional<AttemptFailure> failure;
 };
 
-class OwnsEverything : public KeyAuthority {
+class FakeKeyAuthority : public KeyAuthority {
  public:
   std::optional<bool> Sharded() const override { return sharded; }
   bool MaySend(Instant, sharding::ShardKey) const override { return owned; }
@@ -51,7 +51,7 @@
   FakeWorker worker{loop, "w", "shop"};
   std::vector<http::ExchangePtr> held;
   std::unique_ptr<WorkerGate> gate;
-  OwnsEverything authority;
+  FakeKeyAuthority authority;
 
   void setup() override {
     worker.Listen();
