--- a/source/sidecar/inbound_handler.cc
+++ b/source/sidecar/inbound_handler.cc
@@ -88,7 +88,7 @@
     End();
   }
 
-  void LogCut() const {
+  void LogUnfinished() const {
     handler_->log_.Write(LogLevel::kInfo, "forwarded_request_cut",
                          {{"request", request_id_},
                           {"reason", "stopping"},
@@ -109,7 +109,7 @@
     StopExpecting();
     exchange_->set_on_client_gone(nullptr);
     relay_.set_attempt(nullptr);
-    handler_->Forget(this);
+    handler_->RemoveForward(this);
     attempt_.reset();
   }
 
@@ -141,7 +141,7 @@
 
 void InboundHandler::Handle(const http::ExchangePtr& exchange) {
   if (peer_protocol::IsStoreCall(exchange->request().head.headers)) {
-    PassToStore(exchange);
+    ForwardToStore(exchange);
     return;
   }
   if (peer_protocol::IsChangeSet(exchange->request().head.headers)) {
@@ -173,7 +173,7 @@
   }
   auto forward = std::make_shared<Forward>(this, exchange, *attempt);
   forwards_[forward.get()] = forward;
-  if (Takes(*attempt)) {
+  if (Accepts(*attempt)) {
     forward->Begin();
     return;
   }
@@ -184,7 +184,7 @@
 // A stopping node takes what is certainly over before it ends. New requests are refused as soon as
 // those of clients are, so that their senders choose another node; a request that only this worker
 // may run is taken for as long as the worker holds its key.
-bool InboundHandler::Takes(const AttemptRequest& attempt) const {
+bool InboundHandler::Accepts(const AttemptRequest& attempt) const {
   if (!stop_.EndsInTime(attempt.deadline)) return false;
   return stop_.TakesNewRequests(loop_.Now()) || gate_.RequiresKeyOwner(attempt);
 }
@@ -200,13 +200,13 @@
   return counts;
 }
 
-void InboundHandler::LogCut() const {
-  for (const auto& [pointer, forward] : forwards_) forward->LogCut();
+void InboundHandler::LogUnfinished() const {
+  for (const auto& [pointer, forward] : forwards_) forward->LogUnfinished();
 }
 
-void InboundHandler::Forget(Forward* forward) { forwards_.erase(forward); }
+void InboundHandler::RemoveForward(Forward* forward) { forwards_.erase(forward); }
 
-void InboundHandler::PassToStore(const http::ExchangePtr& exchange) {
+void InboundHandler::ForwardToStore(const http::ExchangePtr& exchange) {
   http::Request request = std::move(exchange->request());
   peer_protocol::RemoveHeaders(&request.head.headers);
   request.head.headers.RemoveConnectionHeaders();
--- a/source/sidecar/inbound_handler.h
+++ b/source/sidecar/inbound_handler.h
@@ -30,16 +30,16 @@
   // Requests that were refused since the node stops.
   uint64_t refused_in_stop() const { return refused_in_stop_; }
   // Writes a line for each request under way: the process ends without its answer.
-  void LogCut() const;
+  void LogUnfinished() const;
 
  private:
   class Forward;
 
-  void PassToStore(const http::ExchangePtr& exchange);
-  bool Takes(const AttemptRequest& attempt) const;
+  void ForwardToStore(const http::ExchangePtr& exchange);
+  bool Accepts(const AttemptRequest& attempt) const;
   // What each answer tells of this node.
   void AddNodeState(http::Headers* headers) const;
-  void Forget(Forward* forward);
+  void RemoveForward(Forward* forward);
 
   event::EventLoop& loop_;
   WorkerGate& gate_;
--- a/source/sidecar/ingress.cc
+++ b/source/sidecar/ingress.cc
@@ -11,7 +11,7 @@
 
 constexpr int kNotFound = 404;
 constexpr int kServiceUnavailable = 503;
-constexpr const char* kRetryAfterShortly = "0.3";
+constexpr const char* kRetryAfterSeconds = "0.3";
 // Attempts beyond the first that this node sends to a service, as a part of what the fleet allows.
 constexpr double kRetryShare = 0.6;
 // Of these, runs that are repeated. A repeated run repeats the calls that its worker makes, and
@@ -56,7 +56,7 @@
   flow->Begin();
 }
 
-bool Ingress::Takes(bool nested, Instant deadline) const {
+bool Ingress::Accepts(bool nested, Instant deadline) const {
   if (context_.stop.TakesNewRequests(context_.loop.Now())) return true;
   return nested && context_.stop.EndsInTime(deadline);
 }
@@ -84,7 +84,7 @@
                       {"reason", std::string(reason)},
                       {"verdict", VerdictName(Verdict::kNotRun)}});
   http::Headers headers;
-  headers.Add(context_.wire.headers().retry_after, kRetryAfterShortly);
+  headers.Add(context_.wire.headers().retry_after, kRetryAfterSeconds);
   exchange->Respond(kServiceUnavailable, headers, "");
   context_.metrics.OnRequest(RequestOutcome::kRefused, Duration(0));
 }
@@ -95,8 +95,8 @@
   return counts;
 }
 
-void Ingress::LogCut() const {
-  for (const auto& [pointer, flow] : flows_) flow->LogCut();
+void Ingress::LogUnfinished() const {
+  for (const auto& [pointer, flow] : flows_) flow->LogUnfinished();
 }
 
 bool Ingress::IsNestedCall(const http::RequestHead& head) const {
@@ -111,10 +111,10 @@
   for (const auto& [pointer, flow] : flows_) {
     if (flow->waiting_for_owner()) waiting.push_back(flow);
   }
-  for (const auto& flow : waiting) flow->RetryOwner();
+  for (const auto& flow : waiting) flow->RetryOwnerLookup();
 }
 
-Ingress::ServiceBudgets& Ingress::BudgetsOf(const std::string& service) {
+Ingress::ServiceBudgets& Ingress::RetryBudgetsFor(const std::string& service) {
   const FleetBounds& bounds = context_.settings.bounds;
   const auto [found, added] = budgets_.try_emplace(
       service, ServiceBudgets{routing::RetryBudget(BudgetConfig(bounds, kRetryShare)),
@@ -128,20 +128,20 @@
 
 void Ingress::OnFirstAttempt(const std::string& service) {
   const Instant now = context_.loop.Now();
-  ServiceBudgets& budgets = BudgetsOf(service);
+  ServiceBudgets& budgets = RetryBudgetsFor(service);
   budgets.retries.OnFirstAttempt(now);
   budgets.repeated_runs.OnFirstAttempt(now);
 }
 
-bool Ingress::TakeRetry(const std::string& service, RetryKind kind) {
+bool Ingress::TryConsumeRetry(const std::string& service, RetryKind kind) {
   const Instant now = context_.loop.Now();
-  ServiceBudgets& budgets = BudgetsOf(service);
+  ServiceBudgets& budgets = RetryBudgetsFor(service);
   if (kind == RetryKind::kRepeatedRun && !budgets.repeated_runs.TryRetry(now)) return false;
   if (!budgets.retries.TryRetry(now)) return false;
   ++retries_;
   return true;
 }
 
-void Ingress::Forget(RequestFlow* flow) { flows_.erase(flow); }
+void Ingress::RemoveFlow(RequestFlow* flow) { flows_.erase(flow); }
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/ingress.h
+++ b/source/sidecar/ingress.h
@@ -71,15 +71,15 @@
   // Requests that were refused since the node stops.
   uint64_t refused_in_stop() const { return refused_in_stop_; }
   // Writes a line for each request under way: the process ends without its answer.
-  void LogCut() const;
+  void LogUnfinished() const;
 
  private:
   friend class RequestFlow;
-  void Forget(RequestFlow* flow);
+  void RemoveFlow(RequestFlow* flow);
   // A stopping node takes new requests until clients have learnt of the stop, and then only calls
   // of the worker's runs, which need them to end, while they are certainly over before the node
   // ends.
-  bool Takes(bool nested, Instant deadline) const;
+  bool Accepts(bool nested, Instant deadline) const;
   // This node cannot tell whether the request has a route.
   void RefuseUnconfigured(const http::ExchangePtr& exchange, const char* reason);
   void AnswerUnknownRoute(const http::ExchangePtr& exchange, const std::string& host,
@@ -96,14 +96,14 @@
     kAfterRefusal,  // The request certainly has not run.
     kRepeatedRun,
   };
-  ServiceBudgets& BudgetsOf(const std::string& service);
+  ServiceBudgets& RetryBudgetsFor(const std::string& service);
   void OnFirstAttempt(const std::string& service);
   // The caller has much less time than callers of the route usually have.
   bool IsShortDeadline(const std::string& route, Duration deadline) {
     return deadline_estimators_[route].IsShort(deadline);
   }
   // False: the request must not be sent to another worker.
-  bool TakeRetry(const std::string& service, RetryKind kind);
+  bool TryConsumeRetry(const std::string& service, RetryKind kind);
 
   IngressContext context_;
   std::shared_ptr<const routes::RoutingConfiguration> configuration_;
--- a/source/sidecar/request_flow.cc
+++ b/source/sidecar/request_flow.cc
@@ -44,7 +44,7 @@
   const auto self = shared_from_this();
   ReadRequest();
   ChooseService();
-  if (!ingress_->Takes(nested_, times_.deadline)) {
+  if (!ingress_->Accepts(nested_, times_.deadline)) {
     ++ingress_->refused_in_stop_;
     Refuse(FailureReason::kStopping, kStopRetryAfter);
     return;
@@ -104,7 +104,7 @@
 
 // Only the worker that holds the key may run the request. A key sent to a service that is not
 // divided by key means nothing.
-bool RequestFlow::OwnerServes() const {
+bool RequestFlow::OnlyOwnerMayRun() const {
   if (!key_.has_value() || ingress_->configuration_ == nullptr) return false;
   const routes::Service* service = ingress_->configuration_->FindService(service_);
   return service != nullptr && service->sharded;
@@ -126,7 +126,7 @@
     RefuseQuarantined();
     return;
   }
-  if (OwnerServes()) {
+  if (OnlyOwnerMayRun()) {
     const sharding::Shard* shard = context_.shards.Find(service_, *key_);
     const Peer* peer = shard == nullptr ? nullptr : context_.peers.Find(shard->owner.node);
     if (peer == nullptr || shard->owner.worker.empty()) {
@@ -137,31 +137,31 @@
     return;
   }
   const auto node =
-      context_.peers.Choose(now, service_, tried_nodes_, context_.random, SizeOfAnswer());
+      context_.peers.Choose(now, service_, tried_nodes_, context_.random, ExpectedAnswerSize());
   if (!node.has_value()) {
     Refuse(FailureReason::kNoWorker, Duration(0));
     return;
   }
-  StartAttempt(*node, WorkerBeside(*node));
+  StartAttempt(*node, WorkerOnNode(*node));
 }
 
 // The queues that were asked are full: a node that is about to end, and that new requests are kept
 // from otherwise, may have room. False: there is none.
-bool RequestFlow::TryStopping() {
+bool RequestFlow::TryStoppingNode() {
   if (context_.stop.closed() || context_.loop.Now() >= times_.deadline) return false;
   const auto node = context_.peers.ChooseStopping(context_.loop.Now(), service_, tried_nodes_,
-                                                  context_.random, SizeOfAnswer());
+                                                  context_.random, ExpectedAnswerSize());
   if (!node.has_value()) return false;
-  StartAttempt(*node, WorkerBeside(*node));
+  StartAttempt(*node, WorkerOnNode(*node));
   return true;
 }
 
-routing::AnswerSize RequestFlow::SizeOfAnswer() const {
+routing::AnswerSize RequestFlow::ExpectedAnswerSize() const {
   return route_.kind == routes::RequestKind::kDownload ? routing::AnswerSize::kLarge
                                                        : routing::AnswerSize::kUsual;
 }
 
-std::string RequestFlow::WorkerBeside(const std::string& node) const {
+std::string RequestFlow::WorkerOnNode(const std::string& node) const {
   const Peer* peer = context_.peers.Find(node);
   return peer == nullptr ? std::string() : peer->record.worker_id;
 }
@@ -171,7 +171,7 @@
     OnClientGone();
     return;
   }
-  if (!StopForQuarantine(node, worker_id)) Send(node, worker_id);
+  if (!CheckQuarantine(node, worker_id)) Send(node, worker_id);
 }
 
 void RequestFlow::Send(const std::string& node, const std::string& worker_id) {
@@ -218,7 +218,7 @@
 void RequestFlow::OnAnswerHead(http::ResponseHead&& head) { relay_.OnHead(std::move(head)); }
 
 // The worker ran the request and failed: another one may do better, when it may run again.
-bool RequestFlow::WorkerFailureWorthRetry() const {
+bool RequestFlow::ShouldRetryWorkerFailure() const {
   return relay_.head().status == kInternalError && !relay_.streaming() && !trial_ &&
          routes::IsRepeatable(route_.kind) && arrivals_ + 1 < route_.max_attempts &&
          context_.loop.Now() < times_.answer_by;
@@ -228,9 +228,9 @@
 
 void RequestFlow::OnAnswerComplete() {
   const auto self = shared_from_this();
-  NoteGoodRun(relay_.head().status);
-  if (WorkerFailureWorthRetry() &&
-      ingress_->TakeRetry(service_, Ingress::RetryKind::kRepeatedRun)) {
+  RecordCompletedRun(relay_.head().status);
+  if (ShouldRetryWorkerFailure() &&
+      ingress_->TryConsumeRetry(service_, Ingress::RetryKind::kRepeatedRun)) {
     ++arrivals_;
     LogOutcome("attempt_failed", relay_.head().status, "worker-error", Verdict::kRan);
     tried_nodes_.push_back(current_node_);
@@ -269,7 +269,7 @@
     return;
   }
   may_have_run_ = true;
-  NoteBroken(failure, node);
+  RecordBrokenAttempt(failure, node);
   if (MayRunAgain(failure)) {
     tried_nodes_.push_back(node);
     TryNext();
@@ -280,10 +280,10 @@
 }
 
 bool RequestFlow::MayRunAgain(const AttemptFailure& failure) {
-  if (MayEndWorkers()) return false;
+  if (MayCrashWorkers()) return false;
   if (!routes::IsRepeatable(route_.kind) || failure.reason == FailureReason::kExpired) return false;
   if (arrivals_ >= route_.max_attempts || context_.loop.Now() >= times_.deadline) return false;
-  return ingress_->TakeRetry(service_, Ingress::RetryKind::kRepeatedRun);
+  return ingress_->TryConsumeRetry(service_, Ingress::RetryKind::kRepeatedRun);
 }
 
 uint32_t RequestFlow::MaxQueueRefusals() const {
@@ -303,22 +303,22 @@
     case FailureReason::kNoWorker:
     case FailureReason::kDraining:
     case FailureReason::kStopping:
-      if (OwnerServes()) {
+      if (OnlyOwnerMayRun()) {
         WaitForOwner(failure.reason);
       } else {
         TryNext();
       }
       return;
     case FailureReason::kFull:
-      if (!OwnerServes() && ++refusals_ < MaxQueueRefusals()) {
+      if (!OnlyOwnerMayRun() && ++refusals_ < MaxQueueRefusals()) {
         TryNext();
-      } else if (OwnerServes() || !TryStopping()) {
+      } else if (OnlyOwnerMayRun() || !TryStoppingNode()) {
         Refuse(failure.reason, failure.retry_after);
       }
       return;
     case FailureReason::kWorkerRefused:
       if (arrivals_ < route_.max_attempts &&
-          ingress_->TakeRetry(service_, Ingress::RetryKind::kAfterRefusal)) {
+          ingress_->TryConsumeRetry(service_, Ingress::RetryKind::kAfterRefusal)) {
         TryNext();
       } else {
         Refuse(failure.reason, failure.retry_after);
@@ -361,7 +361,7 @@
   wait_timer_.Start(std::min(poll, wait_until - context_.loop.Now()));
 }
 
-void RequestFlow::RetryOwner() {
+void RequestFlow::RetryOwnerLookup() {
   if (!waiting_for_owner_) return;
   const auto self = shared_from_this();
   waiting_for_owner_ = false;
--- a/source/sidecar/request_flow.h
+++ b/source/sidecar/request_flow.h
@@ -19,12 +19,12 @@
 
   void Begin();
   // Looks for the owner of the key again, when the request waits for one.
-  void RetryOwner();
+  void RetryOwnerLookup();
   bool waiting_for_owner() const { return waiting_for_owner_; }
   // The worker beside this node sent the request during a run.
   bool nested() const { return nested_; }
   // Writes a line: the process ends without the answer.
-  void LogCut();
+  void LogUnfinished();
 
   void OnAnswerHead(http::ResponseHead&& head) override;
   void OnAnswerBody(std::string_view data) override;
@@ -35,29 +35,29 @@
  private:
   void ReadRequest();
   void ChooseService();
-  bool OwnerServes() const;
+  bool OnlyOwnerMayRun() const;
   void TryNext();
-  bool TryStopping();
-  routing::AnswerSize SizeOfAnswer() const;
-  std::string WorkerBeside(const std::string& node) const;
+  bool TryStoppingNode();
+  routing::AnswerSize ExpectedAnswerSize() const;
+  std::string WorkerOnNode(const std::string& node) const;
   void StartAttempt(const std::string& node, const std::string& worker_id);
   void Send(const std::string& node, const std::string& worker_id);
   // What the request is known by when it comes again.
   const RequestFingerprint& Fingerprint();
   // Workers ended under requests like this one, so that it is refused or waits for a trial.
-  bool StopForQuarantine(const std::string& node, const std::string& worker_id);
+  bool CheckQuarantine(const std::string& node, const std::string& worker_id);
   void BeginTrial(const std::string& node, const std::string& worker_id);
   void RefuseQuarantined();
-  bool MayEndWorkers();
-  void NoteGoodRun(int status);
+  bool MayCrashWorkers();
+  void RecordCompletedRun(int status);
   uint32_t ExcusedEnds();
   // The try at the worker beside `node` may have run.
-  void NoteBroken(const AttemptFailure& failure, const std::string& node);
+  void RecordBrokenAttempt(const AttemptFailure& failure, const std::string& node);
   uint32_t MaxQueueRefusals() const;
   void EndAttempt();
   void WaitForOwner(FailureReason reason);
   bool MayRunAgain(const AttemptFailure& failure);
-  bool WorkerFailureWorthRetry() const;
+  bool ShouldRetryWorkerFailure() const;
   void OnNotRun(const AttemptFailure& failure);
   void OnTimer();
   void OnClientGone();
--- a/source/sidecar/request_flow_outcome.cc
+++ b/source/sidecar/request_flow_outcome.cc
@@ -76,10 +76,10 @@
   timer_.Stop();
   wait_timer_.Stop();
   EndAttempt();
-  ingress_->Forget(this);
+  ingress_->RemoveFlow(this);
 }
 
-void RequestFlow::LogCut() {
+void RequestFlow::LogUnfinished() {
   const bool sent = !current_node_.empty() || may_have_run_;
   LogOutcome("request_cut", 0, "stopping", sent ? Verdict::kMayHaveRun : Verdict::kNotRun);
 }
--- a/source/sidecar/request_flow_quarantine.cc
+++ b/source/sidecar/request_flow_quarantine.cc
@@ -12,19 +12,19 @@
 
 const RequestFingerprint& RequestFlow::Fingerprint() {
   if (!fingerprint_.has_value()) {
-    fingerprint_ = FingerprintOf(*request_, OwnerServes() ? key_ : std::nullopt);
+    fingerprint_ = FingerprintOf(*request_, OnlyOwnerMayRun() ? key_ : std::nullopt);
   }
   return *fingerprint_;
 }
 
 // A worker just ended under the request, or under one like it, and not for the first time. Sent on
 // it would reach every worker of the service, as many as it may be tried at, with each try.
-bool RequestFlow::MayEndWorkers() {
+bool RequestFlow::MayCrashWorkers() {
   return trial_ ||
          (context_.quarantine.watches_any() && context_.quarantine.IsSuspect(Fingerprint()));
 }
 
-bool RequestFlow::StopForQuarantine(const std::string& node, const std::string& worker_id) {
+bool RequestFlow::CheckQuarantine(const std::string& node, const std::string& worker_id) {
   if (trial_ || !context_.quarantine.watches_any()) return false;
   switch (context_.quarantine.ClearanceOf(Fingerprint())) {
     case Clearance::kFree:
@@ -70,7 +70,7 @@
   Refuse(FailureReason::kQuarantined, context_.quarantine.OnRefused(Fingerprint()));
 }
 
-void RequestFlow::NoteGoodRun(int status) {
+void RequestFlow::RecordCompletedRun(int status) {
   if (!context_.quarantine.watches_any() || status == kGatewayTimeout) return;
   context_.quarantine.OnGoodRun(Fingerprint());
 }
@@ -82,7 +82,7 @@
 }
 
 // The node beside the worker knows whether this ended it, unless it is lost with the worker.
-void RequestFlow::NoteBroken(const AttemptFailure& failure, const std::string& node) {
+void RequestFlow::RecordBrokenAttempt(const AttemptFailure& failure, const std::string& node) {
   const bool broken =
       failure.reason == FailureReason::kBroken || failure.reason == FailureReason::kIncomplete;
   if (!broken || last_worker_.empty() || node == context_.settings.node_name) return;
--- a/source/sidecar/stop_sequence.cc
+++ b/source/sidecar/stop_sequence.cc
@@ -71,8 +71,8 @@
   context_.ingress.RefuseWaiting();
   observer_.on_ending();
   const RequestCounts cut = UnderWay();
-  context_.ingress.LogCut();
-  context_.inbound_handler.LogCut();
+  context_.ingress.LogUnfinished();
+  context_.inbound_handler.LogUnfinished();
   context_.log.Write(LogLevel::kInfo, "stopped",
                      {{"elapsed_ms", ToMilliseconds(context_.schedule.Elapsed(now))},
                       {"requests_cut", cut.total()},
