--- a/source/sidecar/answer_pacer.cc
+++ b/source/sidecar/answer_pacer.cc
@@ -55,14 +55,14 @@
 bool AnswerPacer::IsLate(const PacedAnswer& answer, Instant now) const {
   const double seconds = static_cast<double>(answer.bytes_to_write()) / bytes_per_second_;
   return now + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds)) >
-         answer.wanted_by();
+         answer.due_time();
 }
 
 std::deque<PacedAnswer*>::iterator AnswerPacer::MostUrgent() {
   if (bytes_per_second_ <= 0) return waiting_.begin();
   const Instant now = loop_.Now();
   const auto urgency = [&](const PacedAnswer* answer) {
-    return std::pair(IsLate(*answer, now), answer->wanted_by());
+    return std::pair(IsLate(*answer, now), answer->due_time());
   };
   return std::min_element(waiting_.begin(), waiting_.end(),
                           [&](const PacedAnswer* left, const PacedAnswer* right) {
--- a/source/sidecar/answer_pacer.h
+++ b/source/sidecar/answer_pacer.h
@@ -26,7 +26,7 @@
   // length is known.
   virtual uint64_t bytes_to_write() const = 0;
   // When the caller wants the whole answer; later it is worth less.
-  virtual Instant wanted_by() const = 0;
+  virtual Instant due_time() const = 0;
 };
 
 class AnswerPacer {
--- a/source/sidecar/answer_relay.cc
+++ b/source/sidecar/answer_relay.cc
@@ -8,7 +8,7 @@
 
 // Answers up to this size are held until they are complete, so that one that breaks off can be
 // asked for again and one write suffices.
-constexpr size_t kHeldBodyBytes = size_t{32} * 1024;
+constexpr size_t kMaxBufferedBodyBytes = size_t{32} * 1024;
 // Bytes that wait for a slow reader before the sender is held back, and below which it goes on.
 constexpr size_t kHighWaterBytes = size_t{256} * 1024;
 constexpr size_t kLowWaterBytes = size_t{64} * 1024;
@@ -30,8 +30,8 @@
   body_.append(data);
   if (streaming_) {
     WriteOrEnqueue();
-    HoldBackWhenSlow();
-  } else if (body_.size() > kHeldBodyBytes) {
+    PauseIfReaderSlow();
+  } else if (body_.size() > kMaxBufferedBodyBytes) {
     StartStreaming();
   }
 }
@@ -41,7 +41,7 @@
   exchange_->Start(head_.status, head_.headers, head_.content_length);
   exchange_->set_on_drained([this] { OnDrained(); });
   WriteOrEnqueue();
-  HoldBackWhenSlow();
+  PauseIfReaderSlow();
 }
 
 void AnswerRelay::WriteOrEnqueue() {
@@ -68,12 +68,12 @@
     body_.erase(0, written_);
     written_ = 0;
   }
-  if (whole_ && waiting_bytes() == 0) {
+  if (body_complete_ && waiting_bytes() == 0) {
     exchange_->Finish();
     const auto on_written = std::move(on_written_);
     on_written();
   } else {
-    ResumeWhenRead();
+    ResumeIfDrained();
   }
   return count;
 }
@@ -82,19 +82,19 @@
   if (pacer_ != nullptr && waiting_bytes() > 0) {
     pacer_->Enqueue(this);
   } else {
-    ResumeWhenRead();
+    ResumeIfDrained();
   }
 }
 
 // May end the answer and destroy the relay.
-void AnswerRelay::ResumeWhenRead() {
+void AnswerRelay::ResumeIfDrained() {
   if (!paused_ || attempt_ == nullptr) return;
   if (exchange_->unsent_bytes() + waiting_bytes() > kLowWaterBytes) return;
   paused_ = false;
   attempt_->Resume();
 }
 
-void AnswerRelay::HoldBackWhenSlow() {
+void AnswerRelay::PauseIfReaderSlow() {
   if (paused_ || attempt_ == nullptr) return;
   if (exchange_->unsent_bytes() + waiting_bytes() < kHighWaterBytes) return;
   paused_ = true;
@@ -109,7 +109,7 @@
   }
   if (pacer_ != nullptr) pacer_->OnAnswerSize(size_);
   if (waiting_bytes() > 0) {
-    whole_ = true;
+    body_complete_ = true;
     on_written_ = std::move(on_written);
     return;
   }
--- a/source/sidecar/answer_relay.h
+++ b/source/sidecar/answer_relay.h
@@ -17,9 +17,9 @@
   // Answers are passed on as they come.
   explicit AnswerRelay(http::ExchangePtr exchange) : exchange_(std::move(exchange)) {}
   // Large answers are written when `pacer` allows, which must outlive the relay; the caller wants
-  // them whole by `wanted_by`.
-  AnswerRelay(http::ExchangePtr exchange, AnswerPacer* pacer, Instant wanted_by)
-      : exchange_(std::move(exchange)), pacer_(pacer), wanted_by_(wanted_by) {}
+  // them whole by `due_time`.
+  AnswerRelay(http::ExchangePtr exchange, AnswerPacer* pacer, Instant due_time)
+      : exchange_(std::move(exchange)), pacer_(pacer), due_time_(due_time) {}
   ~AnswerRelay() override;
   AnswerRelay(const AnswerRelay&) = delete;
   AnswerRelay& operator=(const AnswerRelay&) = delete;
@@ -43,23 +43,23 @@
   size_t WritePaced(size_t max_bytes) override;
   size_t waiting_bytes() const override { return body_.size() - written_; }
   uint64_t bytes_to_write() const override;
-  Instant wanted_by() const override { return wanted_by_; }
+  Instant due_time() const override { return due_time_; }
 
   void StartStreaming();
   void WriteOrEnqueue();
   void OnDrained();
-  void ResumeWhenRead();
-  void HoldBackWhenSlow();
+  void ResumeIfDrained();
+  void PauseIfReaderSlow();
 
   http::ExchangePtr exchange_;
   AnswerPacer* pacer_ = nullptr;
-  Instant wanted_by_{};
+  Instant due_time_{};
   Attempt* attempt_ = nullptr;
   http::ResponseHead head_;
   std::string body_;    // Held, or waiting to be written.
   size_t written_ = 0;  // Bytes of the front of `body_` that were written.
   uint64_t size_ = 0;   // Bytes of the body so far.
-  bool whole_ = false;
+  bool body_complete_ = false;
   std::function<void()> on_written_;
   bool streaming_ = false;
   bool paused_ = false;
--- a/tests/sidecar/answer_pacer_test.cc
+++ b/tests/sidecar/answer_pacer_test.cc
@@ -26,10 +26,10 @@
   }
   size_t waiting_bytes() const override { return waiting; }
   uint64_t bytes_to_write() const override { return waiting; }
-  Instant wanted_by() const override { return wanted; }
+  Instant due_time() const override { return due; }
 
   size_t waiting;
-  Instant wanted = Instant::max();
+  Instant due = Instant::max();
   bool reader_slow = false;
 };
 
@@ -66,9 +66,9 @@
 
 TEST(AnswerPacer, TheAnswerThatIsWantedFirstIsWrittenFirst) {
   Answer later(40000);
-  later.wanted = loop.Now() + std::chrono::seconds(2);
+  later.due = loop.Now() + std::chrono::seconds(2);
   Answer sooner(40000);
-  sooner.wanted = loop.Now() + std::chrono::seconds(1);
+  sooner.due = loop.Now() + std::chrono::seconds(1);
   pacer.Enqueue(&later);
   pacer.Enqueue(&sooner);
   CHECK(RunUntil(loop, [&] { return sooner.waiting == 0; }));
@@ -79,9 +79,9 @@
 // 400 kB take half a second of the link, so that this one is late whatever is done.
 TEST(AnswerPacer, AnAnswerThatIsLateInAnyCaseYieldsToThoseInTime) {
   Answer late(400000);
-  late.wanted = loop.Now() + std::chrono::milliseconds(200);
+  late.due = loop.Now() + std::chrono::milliseconds(200);
   Answer in_time(40000);
-  in_time.wanted = loop.Now() + std::chrono::seconds(1);
+  in_time.due = loop.Now() + std::chrono::seconds(1);
   pacer.Enqueue(&late);
   pacer.Enqueue(&in_time);
   CHECK(RunUntil(loop, [&] { return in_time.waiting == 0; }));
