--- a/source/sidecar/class_limiter.cc
+++ b/source/sidecar/class_limiter.cc
@@ -7,12 +7,12 @@
 
 // What a class that rested may send at once, in seconds of its rate.
 constexpr double kBurstSeconds = 0.1;
-constexpr Duration kLongestWait = std::chrono::seconds(5);
+constexpr Duration kMaxWait = std::chrono::seconds(5);
 
 }  // namespace
 
 Duration ClassLimiter::Admit(Instant now, const std::string& caller_class, double rate) {
-  if (rate <= 0) return kLongestWait;
+  if (rate <= 0) return kMaxWait;
   const auto [found, added] = buckets_.try_emplace(caller_class);
   Bucket& bucket = found->second;
   if (!added) {
@@ -26,7 +26,7 @@
   }
   const auto wait = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>((1 - bucket.tokens) / rate));
-  return std::clamp(wait, Duration(std::chrono::milliseconds(1)), kLongestWait);
+  return std::clamp(wait, Duration(std::chrono::milliseconds(1)), kMaxWait);
 }
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/unresolved_attempts.cc
+++ b/source/sidecar/unresolved_attempts.cc
@@ -6,17 +6,17 @@
 namespace {
 
 // A node that is lost breaks off the attempts of all others at its worker, some dozens in all.
-constexpr size_t kMaxRemembered = 256;
+constexpr size_t kMaxEntries = 256;
 // A node that was killed is back within seconds. What ends much later had other reasons.
 constexpr Duration kMaxAge = std::chrono::seconds(10);
 // The node beside the worker tells of its end before it announces the next one; its item takes the
 // time of a change of the state, some hundred milliseconds, and a second while the store is slow.
-constexpr Duration kTimeToTell = std::chrono::seconds(1);
+constexpr Duration kReportGracePeriod = std::chrono::seconds(1);
 
 }  // namespace
 
 void UnresolvedAttempts::Add(Instant now, Attempt attempt) {
-  if (attempts_.size() >= kMaxRemembered) attempts_.pop_front();
+  if (attempts_.size() >= kMaxEntries) attempts_.pop_front();
   attempts_.push_back({std::move(attempt), now, Instant{}});
 }
 
@@ -33,7 +33,7 @@
   std::vector<Attempt> ended;
   std::erase_if(attempts_, [&](Entry& entry) {
     if (entry.replaced_at == Instant{}) return now - entry.broken_at > kMaxAge;
-    if (now - entry.replaced_at < kTimeToTell) return false;
+    if (now - entry.replaced_at < kReportGracePeriod) return false;
     ended.push_back(std::move(entry.attempt));
     return true;
   });
--- a/tests/sidecar/unresolved_attempts_test.cc
+++ b/tests/sidecar/unresolved_attempts_test.cc
@@ -25,7 +25,7 @@
   return worker_id == other || worker_id == NameOf(other) || other == NameOf(worker_id);
 }
 
-RequestFingerprint Print(const std::string& name) {
+RequestFingerprint MakeFingerprint(const std::string& name) {
   http::Request request;
   request.head.target = "/" + name;
   return FingerprintOf(request, std::nullopt);
@@ -36,36 +36,36 @@
 TEST_GROUP(UnresolvedAttempts) {
   UnresolvedAttempts attempts{MayBeSame};
 
-  void Break(const std::string& worker_id, Duration at = Duration(0)) {
-    attempts.Add(kStart + at, {"n1", worker_id, Print("guilty")});
+  void AddBrokenAttempt(const std::string& worker_id, Duration at = Duration(0)) {
+    attempts.Add(kStart + at, {"n1", worker_id, MakeFingerprint("guilty")});
   }
 };
 
 TEST(UnresolvedAttempts, AnotherIncarnationTellsThatTheFormerEnded) {
-  Break("w@1");
+  AddBrokenAttempt("w@1");
   attempts.OnWorkerAt(kStart + seconds(2), "n1", "w@2");
   const auto ended = attempts.TakeEnded(kStart + seconds(3));
   CHECK_EQUAL(1U, ended.size());
-  CHECK(ended[0].request == Print("guilty"));
+  CHECK(ended[0].request == MakeFingerprint("guilty"));
   CHECK(attempts.empty());
 }
 
 TEST(UnresolvedAttempts, TheNodeBesideTheWorkerHasItsTimeToTell) {
-  Break("w@1");
+  AddBrokenAttempt("w@1");
   attempts.OnWorkerAt(kStart + seconds(2), "n1", "w@2");
   CHECK_EQUAL(0U, attempts.TakeEnded(kStart + milliseconds(2900)).size());
   CHECK(!attempts.empty());
 }
 
 TEST(UnresolvedAttempts, TheSameWorkerLivesOn) {
-  Break("w@1");
+  AddBrokenAttempt("w@1");
   attempts.OnWorkerAt(kStart + seconds(1), "n1", "w@1");
   CHECK_EQUAL(0U, attempts.TakeEnded(kStart + seconds(5)).size());
 }
 
 // A node that was started again finds its worker before it knows the incarnation.
 TEST(UnresolvedAttempts, AnIdentityThatIsKnownInPartTellsNothing) {
-  Break("w@1");
+  AddBrokenAttempt("w@1");
   attempts.OnWorkerAt(kStart + seconds(1), "n1", "");
   attempts.OnWorkerAt(kStart + seconds(1), "n1", "w");
   CHECK_EQUAL(0U, attempts.TakeEnded(kStart + seconds(5)).size());
@@ -74,19 +74,19 @@
 }
 
 TEST(UnresolvedAttempts, WorkersBesideOtherNodesTellNothing) {
-  Break("w@1");
+  AddBrokenAttempt("w@1");
   attempts.OnWorkerAt(kStart + seconds(1), "n2", "w@2");
   CHECK_EQUAL(0U, attempts.TakeEnded(kStart + seconds(5)).size());
 }
 
 TEST(UnresolvedAttempts, WhatEndsMuchLaterHadOtherReasons) {
-  Break("w@1");
+  AddBrokenAttempt("w@1");
   CHECK_EQUAL(0U, attempts.TakeEnded(kStart + seconds(11)).size());
   CHECK(attempts.empty());
 }
 
 TEST(UnresolvedAttempts, AFloodIsBounded) {
-  for (int index = 0; index < 10000; ++index) Break("w@1", milliseconds(index / 10));
+  for (int index = 0; index < 10000; ++index) AddBrokenAttempt("w@1", milliseconds(index / 10));
   attempts.OnWorkerAt(kStart + seconds(2), "n1", "w@2");
   CHECK_COMPARE(attempts.TakeEnded(kStart + seconds(3)).size(), <=, 256U);
 }
