--- a/source/sidecar/request_flow.cc
+++ b/source/sidecar/request_flow.cc
@@ -13,17 +13,18 @@
 constexpr int kInternalError = 500;
 constexpr int kBadGateway = 502;
 constexpr int kGatewayTimeout = 504;
-// Of requests that carry no deadline and whose route has no timeout.
+// Timeout of requests that carry no deadline and whose route sets no timeout.
 constexpr Duration kDefaultTimeout = std::chrono::seconds(30);
-// How often a request that waits for the owner of its key looks again, besides changes of the map:
-// first soon, since the owner may just be learning of its keys, then less often.
+// Interval at which a request that waits for the owner of its key repeats the lookup, in addition
+// to the lookups after each change of the shard map. Starts short, since the owner may be about to
+// receive its assignment, and grows with each wait.
 constexpr Duration kOwnerPollMin = std::chrono::milliseconds(25);
 constexpr Duration kOwnerPollMax = std::chrono::milliseconds(100);
-// Of requests that a stopping node refuses: clients come back by another one soon.
+// Retry-after of requests that a stopping node refuses: clients soon use another node.
 constexpr Duration kStopRetryAfter = std::chrono::milliseconds(300);
-// A request goes to at most this many queues before it is refused.
+// A request is refused after this many nodes have refused it because their queues are full.
 constexpr uint32_t kMaxQueueRefusals = 2;
-// A call that a worker makes during a run is offered to more queues before it is refused.
+// Higher for nested calls, since refusing one also fails the run that made it.
 constexpr uint32_t kMaxQueueRefusalsOfNestedCall = 4;
 
 }  // namespace
@@ -84,7 +85,7 @@
   request_ = std::make_shared<const http::Request>(std::move(request));
 }
 
-// By weight; the choice stays the same for all attempts of the request.
+// Selects a service at random by weight. All attempts of the request use the same service.
 void RequestFlow::ChooseService() {
   uint64_t total = 0;
   for (const auto& part : route_.services) total += part.weight;
@@ -102,8 +103,8 @@
   }
 }
 
-// Only the worker that holds the key may run the request. A key sent to a service that is not
-// divided by key means nothing.
+// True if only the worker that owns the request's shard key may run it. The key is ignored for
+// services that are not sharded.
 bool RequestFlow::OnlyOwnerMayRun() const {
   if (!key_.has_value() || ingress_->configuration_ == nullptr) return false;
   const routes::Service* service = ingress_->configuration_->FindService(service_);
@@ -145,8 +146,8 @@
   StartAttempt(*node, WorkerOnNode(*node));
 }
 
-// The queues that were asked are full: a node that is about to end, and that new requests are kept
-// from otherwise, may have room. False: there is none.
+// Called when the queues of the nodes tried so far are full. Sends the request to a stopping node,
+// which normal routing avoids but which may have room in its queue. Returns false if there is none.
 bool RequestFlow::TryStoppingNode() {
   if (context_.stop.closed() || context_.loop.Now() >= times_.deadline) return false;
   const auto node = context_.peers.ChooseStopping(context_.loop.Now(), service_, tried_nodes_,
@@ -217,7 +218,8 @@
 
 void RequestFlow::OnAnswerHead(http::ResponseHead&& head) { relay_.OnHead(std::move(head)); }
 
-// The worker ran the request and failed: another one may do better, when it may run again.
+// The worker ran the request and answered 500: another worker may succeed if the request may be
+// repeated.
 bool RequestFlow::ShouldRetryWorkerFailure() const {
   return relay_.head().status == kInternalError && !relay_.streaming() && !trial_ &&
          routes::IsRepeatable(route_.kind) && arrivals_ + 1 < route_.max_attempts &&
@@ -248,11 +250,11 @@
 
 void RequestFlow::OnAttemptFailure(const AttemptFailure& reported) {
   const auto self = shared_from_this();
-  // A copy: the attempt that reported the failure, and may own it, ends below.
+  // A copy, since `reported` may be owned by the attempt, which is destroyed below.
   const AttemptFailure failure = reported;
   const std::string node = current_node_;
   if (relay_.streaming()) {
-    // What the client has of the answer must not look complete.
+    // Abort the connection so that the client does not take the partial answer for a complete one.
     context_.metrics.OnRequest(RequestOutcome::kFailed, Age());
     LogOutcome("answer_broken_off", relay_.head().status, FailureReasonName(failure.reason),
                Verdict::kRan);
@@ -325,7 +327,8 @@
       }
       return;
     case FailureReason::kCallerGone:
-      // The node beside the worker lost this node, or this node its client.
+      // Either the client disconnected from this node, or the remote node lost its connection to
+      // this one.
       if (CallerGone()) {
         OnClientGone();
       } else {
@@ -345,14 +348,16 @@
   }
 }
 
-// A key that is changing hands, or whose owner is lost, is tried again shortly.
+// Schedules another lookup for a key that is being handed over or whose owner is lost, or refuses
+// the request if there is too little time left to wait.
 void RequestFlow::WaitForOwner(FailureReason reason) {
-  // Only keys that change hands are certain to be served again soon.
+  // The longer limit applies only to keys that are being handed over: only these are certain to be
+  // served again soon.
   const Instant wait_until =
       reason == FailureReason::kNotOwner ? times_.wait_for_handover_by : times_.refuse_by;
   const Duration poll = std::min(kOwnerPollMin * (1 + owner_waits_), kOwnerPollMax);
   if (context_.loop.Now() + kOwnerPollMin >= wait_until) {
-    // Keys change hands within about a heartbeat: half of one is left on average.
+    // A handover takes about one heartbeat interval, of which half remains on average.
     Refuse(FailureReason::kNotOwner, context_.settings.heartbeat_interval / 2);
     return;
   }
--- a/source/sidecar/request_flow.h
+++ b/source/sidecar/request_flow.h
@@ -1,4 +1,5 @@
-// One request of a client, from its arrival to its final answer.
+// Handles one request of a client or of the local worker, from its arrival to its final response:
+// selects a worker, sends attempts, and retries where the route and the retry budgets allow it.
 #pragma once
 
 #include <memory>
@@ -13,17 +14,21 @@
 
 namespace runshelf::sidecar {
 
+// A request ends with one complete response, with the connection aborted in the middle of an
+// answer, or when its client disconnects. Owned by the Ingress, which removes it then. Used on the
+// thread of the event loop only.
 class RequestFlow : public AttemptObserver, public std::enable_shared_from_this<RequestFlow> {
  public:
   RequestFlow(Ingress* ingress, http::ExchangePtr exchange, const routes::Route& route);
 
+  // Starts the first attempt, or refuses the request; may end the request before it returns.
   void Begin();
-  // Looks for the owner of the key again, when the request waits for one.
+  // Repeats the lookup of the key's owner at once if the request is waiting for one.
   void RetryOwnerLookup();
   bool waiting_for_owner() const { return waiting_for_owner_; }
-  // The worker beside this node sent the request during a run.
+  // True if the local worker sent the request while it runs another one.
   bool nested() const { return nested_; }
-  // Writes a line: the process ends without the answer.
+  // Logs that the process exits before the request has been answered.
   void LogUnfinished();
 
   void OnAnswerHead(http::ResponseHead&& head) override;
@@ -42,16 +47,16 @@
   std::string WorkerOnNode(const std::string& node) const;
   void StartAttempt(const std::string& node, const std::string& worker_id);
   void Send(const std::string& node, const std::string& worker_id);
-  // What the request is known by when it comes again.
+  // Identifies the request in the quarantine, also when it is sent again. Computed on first use.
   const RequestFingerprint& Fingerprint();
-  // Workers ended under requests like this one, so that it is refused or waits for a trial.
+  // Returns true if the request is in quarantine: it has been refused, or a trial was requested.
   bool CheckQuarantine(const std::string& node, const std::string& worker_id);
   void BeginTrial(const std::string& node, const std::string& worker_id);
   void RefuseQuarantined();
   bool MayCrashWorkers();
   void RecordCompletedRun(int status);
   uint32_t ExcusedEnds();
-  // The try at the worker beside `node` may have run.
+  // Reports an attempt at the worker on `node` that broke off and may have run.
   void RecordBrokenAttempt(const AttemptFailure& failure, const std::string& node);
   uint32_t MaxQueueRefusals() const;
   void EndAttempt();
@@ -66,14 +71,14 @@
   void AnswerFailure(int status, FailureReason reason);
   void Finish();
   void LogOutcome(std::string_view event, int status, std::string_view reason, Verdict verdict);
-  // What is known of all attempts so far.
+  // The verdict over all attempts so far.
   Verdict CurrentVerdict() const { return may_have_run_ ? Verdict::kMayHaveRun : Verdict::kNotRun; }
   Duration Age() const;
 
   Ingress* ingress_;
   IngressContext& context_;
   http::ExchangePtr exchange_;
-  routes::Route route_;  // A copy: the configuration may change meanwhile.
+  routes::Route route_;  // A copy, since the configuration may change during the request.
   AnswerRelay relay_;
   event::Timer timer_;
   event::Timer wait_timer_;
@@ -84,15 +89,15 @@
   RequestTimes times_;
   std::optional<RequestFingerprint> fingerprint_;
   std::vector<std::string> tried_nodes_;
-  std::string current_node_;  // Of the attempt under way; empty while there is none.
-  std::string last_node_;     // Of the latest attempt.
+  std::string current_node_;  // Node of the attempt in progress; empty if there is none.
+  std::string last_node_;     // Node of the latest attempt.
   std::string last_worker_;
   std::unique_ptr<Attempt> attempt_;
-  uint32_t arrivals_ = 0;     // At workers, as far as is known.
-  uint32_t refusals_ = 0;     // By queues of nodes.
-  uint32_t owner_waits_ = 0;  // For the owner of the key to be known or ready.
-  bool trial_ = false;        // Of a request in quarantine: sent once, whatever becomes of it.
-  bool nested_ = false;       // A call that the worker of this node makes during a run.
+  uint32_t arrivals_ = 0;     // Attempts that are known to have reached a worker.
+  uint32_t refusals_ = 0;     // Attempts that were refused because a node's queue was full.
+  uint32_t owner_waits_ = 0;  // Waits for the key's owner to be known or ready.
+  bool trial_ = false;        // Trial run of a request in quarantine: never retried.
+  bool nested_ = false;       // See nested().
   bool may_have_run_ = false;
   bool waiting_for_owner_ = false;
   bool done_ = false;
--- a/source/sidecar/request_flow_outcome.cc
+++ b/source/sidecar/request_flow_outcome.cc
@@ -1,4 +1,4 @@
-// The part of RequestFlow that ends a request: its final answer, and the line that tells of it.
+// The part of RequestFlow that ends a request: sends the final response and logs the outcome.
 
 #include <fmt/format.h>
 
@@ -42,7 +42,8 @@
   Finish();
 }
 
-// Certainly not run, unless an earlier attempt left a doubt.
+// Responds that the request has not run and may be sent again. If an earlier attempt may have run,
+// responds with a failure instead, which makes no such promise.
 void RequestFlow::Refuse(FailureReason reason, Duration retry_after) {
   if (may_have_run_) {
     AnswerFailure(kBadGateway, reason);
@@ -51,7 +52,7 @@
   context_.metrics.OnRequest(RequestOutcome::kRefused, Age());
   Duration advice = retry_after == Duration(0) ? kDefaultRetryAfter : retry_after;
   advice = std::min(advice, kMaxRetryAfter);
-  // Spread, so that those refused together do not come back together.
+  // Random jitter, so that clients that are refused at the same time do not all retry together.
   advice = context_.random.Between(advice, advice + advice / 2 + std::chrono::milliseconds(1));
   http::Headers headers;
   headers.Add(context_.wire.headers().retry_after,
--- a/source/sidecar/request_flow_quarantine.cc
+++ b/source/sidecar/request_flow_quarantine.cc
@@ -1,11 +1,11 @@
-// The part of RequestFlow that keeps requests from workers that end under them.
+// The part of RequestFlow that applies the quarantine of requests that may crash workers.
 
 #include "source/sidecar/request_flow.h"
 
 namespace runshelf::sidecar {
 namespace {
 
-// The deadline passed in the worker: what the run would have come to is not known.
+// Status for a deadline that passed during the run: how the run would have ended is unknown.
 constexpr int kGatewayTimeout = 504;
 
 }  // namespace
@@ -17,8 +17,9 @@
   return *fingerprint_;
 }
 
-// A worker just ended under the request, or under one like it, and not for the first time. Sent on
-// it would reach every worker of the service, as many as it may be tried at, with each try.
+// True for a trial, and if workers exited while they ran this request or one with the same
+// fingerprint. Such a request is not retried after a broken attempt: each retry could end another
+// worker of the service, up to the route's limit on attempts.
 bool RequestFlow::MayCrashWorkers() {
   return trial_ ||
          (context_.quarantine.watches_any() && context_.quarantine.IsSuspect(Fingerprint()));
@@ -40,8 +41,8 @@
 }
 
 void RequestFlow::BeginTrial(const std::string& node, const std::string& worker_id) {
-  // This try may have ended a worker already: one is enough. A trial that cannot be counted now is
-  // not waited for: the store may be away for seconds.
+  // An earlier attempt of this request may have ended a worker already, so it gets no trial. Trials
+  // are counted in the store, which may be unreachable for seconds: refuse instead of waiting.
   if (may_have_run_ || !context_.quarantine.CanCountTrials()) {
     RefuseQuarantined();
     return;
@@ -64,8 +65,9 @@
       });
 }
 
-// "Not run" is true of it, and keeps it from being sent again by what stands between here and the
-// caller. A proper request that was put in quarantine by chance comes back for the next trial.
+// Refuses the request as not run, which is correct and keeps intermediaries from sending it again.
+// The retry-after lets a harmless request that is in quarantine by chance return for the next
+// trial.
 void RequestFlow::RefuseQuarantined() {
   Refuse(FailureReason::kQuarantined, context_.quarantine.OnRefused(Fingerprint()));
 }
@@ -75,13 +77,16 @@
   context_.quarantine.OnGoodRun(Fingerprint());
 }
 
-// The node beside the worker may have run no request like it, and hold all ends against it.
+// Number of worker exits that this node knows the request is not to blame for. It is sent with the
+// attempt, since the worker's node may not have seen the good run that proves it and would count
+// all exits against the request.
 uint32_t RequestFlow::ExcusedEnds() {
   if (!context_.quarantine.watches_any()) return 0;
   return static_cast<uint32_t>(context_.quarantine.ExcusedEnds(Fingerprint()));
 }
 
-// The node beside the worker knows whether this ended it, unless it is lost with the worker.
+// Reports an attempt that broke off at a worker of another node. That node records the exit of its
+// worker, unless it was lost as well; see UnresolvedAttempts for that case.
 void RequestFlow::RecordBrokenAttempt(const AttemptFailure& failure, const std::string& node) {
   const bool broken =
       failure.reason == FailureReason::kBroken || failure.reason == FailureReason::kIncomplete;
