--- a/source/sidecar/inbound_handler.cc
+++ b/source/sidecar/inbound_handler.cc
@@ -12,15 +12,15 @@
 constexpr int kBadRequest = 400;
 constexpr int kServiceUnavailable = 503;
 constexpr int kBadGateway = 502;
-// Longest time that a call to the store is passed on for; watches of peers are short.
+// Timeout of calls that are forwarded to the store. Watches that peers send are shorter.
 constexpr Duration kStoreCallTimeout = std::chrono::seconds(4);
-// A large answer is admitted while this part of its expected delay on the link is left before its
-// target: sizes differ, and of those that are admitted at the full delay every other one is late.
+// A large answer is admitted if at least this percentage of its expected delay on the link is left
+// before its target time. At 100 %, half of the admitted answers would be late, since sizes vary.
 constexpr int kDelayMarginPercent = 135;
 
 }  // namespace
 
-// One forwarded request, until its answer is complete.
+// One request forwarded by another node, until its answer has been sent completely.
 class InboundHandler::Forward : public AttemptObserver,
                                 public std::enable_shared_from_this<Forward> {
  public:
@@ -119,7 +119,7 @@
   std::string request_id_;
   Instant answer_by_;
   bool large_answer_;
-  bool answer_expected_ = false;  // Counted by the pacer.
+  bool answer_expected_ = false;  // The pacer counts this answer as expected.
   std::unique_ptr<Attempt> attempt_;
 };
 
@@ -135,8 +135,8 @@
       stop_(stop),
       pacer_(loop, link_bytes_per_second) {}
 
-// Each request that ends gives its slot to the next, which finds its caller gone and ends too, and
-// forgets itself here.
+// Moves the requests out of the map first: destroying one frees its slot for the next, which finds
+// that its caller has disconnected, ends too and calls RemoveForward().
 InboundHandler::~InboundHandler() { const auto ending = std::exchange(forwards_, {}); }
 
 void InboundHandler::Handle(const http::ExchangePtr& exchange) {
@@ -181,9 +181,9 @@
   forward->OnAttemptFailure({Verdict::kNotRun, FailureReason::kStopping, false, Duration(0)});
 }
 
-// A stopping node takes what is certainly over before it ends. New requests are refused as soon as
-// those of clients are, so that their senders choose another node; a request that only this worker
-// may run is taken for as long as the worker holds its key.
+// A stopping node accepts only requests whose deadline passes before it exits. From the moment that
+// it refuses new requests of clients, it refuses these too, so that their senders choose another
+// node, except requests that only the local worker may run, since it still owns their key.
 bool InboundHandler::Accepts(const AttemptRequest& attempt) const {
   if (!stop_.EndsInTime(attempt.deadline)) return false;
   return stop_.TakesNewRequests(loop_.Now()) || gate_.RequiresKeyOwner(attempt);
--- a/source/sidecar/inbound_handler.h
+++ b/source/sidecar/inbound_handler.h
@@ -1,5 +1,5 @@
-// Serves what other nodes send here: requests for the worker beside this node, calls to the store
-// to be passed on, and changes of the state in the store.
+// Handles messages from other nodes: requests for the local worker, calls to be forwarded to the
+// store, changes and snapshots of the stored state, and reports of exited workers.
 #pragma once
 
 #include <memory>
@@ -17,19 +17,21 @@
 
 namespace runshelf::sidecar {
 
+// Used on the thread of the event loop only. The objects passed to the constructor must outlive it.
 class InboundHandler {
  public:
-  // `link_bytes_per_second` is the bandwidth of the machine's link; zero: no bound.
+  // `link_bytes_per_second` is the bandwidth of the machine's network link; zero means unlimited.
   InboundHandler(event::EventLoop& loop, WorkerGate& gate, store::StoreClient& store,
                  StateFeed& feed, RequestQuarantine& quarantine, LogWriter& log,
                  const StopSchedule& stop, double link_bytes_per_second);
   ~InboundHandler();
 
   void Handle(const http::ExchangePtr& exchange);
+  // Number of requests in progress.
   RequestCounts UnderWay() const;
-  // Requests that were refused since the node stops.
+  // Number of requests refused because the node is stopping.
   uint64_t refused_in_stop() const { return refused_in_stop_; }
-  // Writes a line for each request under way: the process ends without its answer.
+  // Logs each request in progress. Call when the process exits without answering them.
   void LogUnfinished() const;
 
  private:
@@ -37,7 +39,8 @@
 
   void ForwardToStore(const http::ExchangePtr& exchange);
   bool Accepts(const AttemptRequest& attempt) const;
-  // What each answer tells of this node.
+  // Adds the headers that every answer carries: the load of the local worker, and the notice that
+  // this node is stopping.
   void AddNodeState(http::Headers* headers) const;
   void RemoveForward(Forward* forward);
 
--- a/source/sidecar/ingress.cc
+++ b/source/sidecar/ingress.cc
@@ -12,11 +12,11 @@
 constexpr int kNotFound = 404;
 constexpr int kServiceUnavailable = 503;
 constexpr const char* kRetryAfterSeconds = "0.3";
-// Attempts beyond the first that this node sends to a service, as a part of what the fleet allows.
+// Share of the fleet's retry budget that this node uses for all retries to a service.
 constexpr double kRetryShare = 0.6;
-// Of these, runs that are repeated. A repeated run repeats the calls that its worker makes, and
-// those count against the service that is called, on top of its own retries: together the two
-// shares stay below one.
+// Share for retries of requests that may have run. A repeated run also repeats the calls that its
+// worker makes, which load the called service in addition to that service's own retries. The two
+// shares together stay below 1, so that even then the fleet's budget is not exceeded.
 constexpr double kRepeatedRunShare = 0.35;
 
 routing::RetryBudgetConfig BudgetConfig(const FleetBounds& bounds, double share) {
@@ -31,7 +31,8 @@
 
 Ingress::Ingress(const IngressContext& context) : context_(context) {}
 
-// As in InboundHandler: requests that end here make others end.
+// Moves the flows out of the map first: destroying a flow can end other flows, which then call
+// RemoveFlow(). See ~InboundHandler().
 Ingress::~Ingress() { const auto ending = std::exchange(flows_, {}); }
 
 void Ingress::SetConfiguration(std::shared_ptr<const routes::RoutingConfiguration> configuration) {
@@ -61,8 +62,8 @@
   return nested && context_.stop.EndsInTime(deadline);
 }
 
-// A route that is missing here may be in a configuration that this node has not got yet. 404 would
-// say that there is none, and clients do not come again.
+// The route may be in a configuration that this node has not received yet. Clients do not retry
+// after a 404, so that case gets a 503.
 void Ingress::AnswerUnknownRoute(const http::ExchangePtr& exchange, const std::string& host,
                                  std::string_view path) {
   if (configuration_is_behind_ && configuration_is_behind_()) {
--- a/source/sidecar/ingress.h
+++ b/source/sidecar/ingress.h
@@ -1,5 +1,5 @@
-// Serves the clients and the worker of this machine: finds the route and the worker, retries what
-// may be retried, and always gives a final answer in time.
+// Serves requests of clients and of the local worker: matches the route and hands each request to
+// a RequestFlow, which selects the worker, retries where allowed and responds by the deadline.
 #pragma once
 
 #include <cstdint>
@@ -27,7 +27,7 @@
 
 namespace runshelf::sidecar {
 
-// Everything that requests need of the node around them. Outlives the ingress.
+// The components of the node that requests use. All of them must outlive the ingress.
 struct IngressContext {
   event::EventLoop& loop;
   http::ConnectionPool& pool;
@@ -46,6 +46,8 @@
 
 class RequestFlow;
 
+// Owns the requests in progress and the retry budgets of the services. Used on the thread of the
+// event loop only.
 class Ingress {
  public:
   explicit Ingress(const IngressContext& context);
@@ -53,56 +55,59 @@
   Ingress(const Ingress&) = delete;
   Ingress& operator=(const Ingress&) = delete;
 
-  // The configuration in force; nullptr while none is known.
+  // Sets the active configuration. Until the first call, requests are refused with 503.
   void SetConfiguration(std::shared_ptr<const routes::RoutingConfiguration> configuration);
-  // Tells whether a newer configuration is known to be in force elsewhere.
+  // `is_behind` returns whether other nodes have announced a configuration that this node has not
+  // received yet. While it returns true, requests that match no route get 503 instead of 404.
   void set_configuration_is_behind(std::function<bool()> is_behind) {
     configuration_is_behind_ = std::move(is_behind);
   }
   void Handle(const http::ExchangePtr& exchange);
-  // The owner of some keys changed: requests that wait for one look again.
+  // The shard map changed: requests that wait for the owner of their key repeat the lookup.
   void OnShardsChanged() { RetryWaiting(); }
-  // The stop is closed: requests that wait for the owner of their key are refused.
+  // Refuses requests that wait for the owner of their key. Call after StopSchedule::Close().
   void RefuseWaiting() { RetryWaiting(); }
 
-  // Requests that were sent once more.
+  // Number of retries sent since the start of the process.
   uint64_t retries() const { return retries_; }
+  // Number of requests in progress.
   RequestCounts UnderWay() const;
-  // Requests that were refused since the node stops.
+  // Number of requests refused because the node is stopping.
   uint64_t refused_in_stop() const { return refused_in_stop_; }
-  // Writes a line for each request under way: the process ends without its answer.
+  // Logs each request in progress. Call when the process exits without answering them.
   void LogUnfinished() const;
 
  private:
   friend class RequestFlow;
   void RemoveFlow(RequestFlow* flow);
-  // A stopping node takes new requests until clients have learnt of the stop, and then only calls
-  // of the worker's runs, which need them to end, while they are certainly over before the node
-  // ends.
+  // Whether the request is accepted. A stopping node accepts new requests until clients have
+  // detected the stop. After that it accepts only nested calls, which running requests need in
+  // order to complete, and only those whose deadline passes before the node exits.
   bool Accepts(bool nested, Instant deadline) const;
-  // This node cannot tell whether the request has a route.
+  // Responds with 503, since this node cannot tell whether a route matches the request.
   void RefuseUnconfigured(const http::ExchangePtr& exchange, const char* reason);
   void AnswerUnknownRoute(const http::ExchangePtr& exchange, const std::string& host,
                           std::string_view path);
   void RetryWaiting();
-  // The worker beside this node sent the request while it runs another one.
+  // True if the local worker sent the request while it runs another one.
   bool IsNestedCall(const http::RequestHead& head) const;
-  // Of one service; the floors follow the number of live nodes that share them.
+  // Retry budgets of one service. The floors are divided by the number of live nodes.
   struct ServiceBudgets {
     routing::RetryBudget retries;        // All attempts beyond the first.
-    routing::RetryBudget repeated_runs;  // Those of requests that may have run before.
+    routing::RetryBudget repeated_runs;  // Retries of requests that may have run before.
   };
   enum class RetryKind {
-    kAfterRefusal,  // The request certainly has not run.
-    kRepeatedRun,
+    kAfterRefusal,  // The request has not run.
+    kRepeatedRun,   // The request has run or may have run.
   };
   ServiceBudgets& RetryBudgetsFor(const std::string& service);
   void OnFirstAttempt(const std::string& service);
-  // The caller has much less time than callers of the route usually have.
+  // True if the deadline is much shorter than is usual for the route.
   bool IsShortDeadline(const std::string& route, Duration deadline) {
     return deadline_estimators_[route].IsShort(deadline);
   }
-  // False: the request must not be sent to another worker.
+  // Takes a retry from the budgets of the service. Returns false if the request must not be sent
+  // again.
   bool TryConsumeRetry(const std::string& service, RetryKind kind);
 
   IngressContext context_;
@@ -110,7 +115,6 @@
   std::function<bool()> configuration_is_behind_;
   std::map<std::string, ServiceBudgets> budgets_;
   std::map<std::string, DeadlineEstimator> deadline_estimators_;  // By route.
-  // Requests that run alone and are under way.
   uint64_t retries_ = 0;
   uint64_t refused_in_stop_ = 0;
   std::unordered_map<RequestFlow*, std::shared_ptr<RequestFlow>> flows_;
