--- a/source/sidecar/class_limiter.cc
+++ b/source/sidecar/class_limiter.cc
@@ -5,8 +5,9 @@
 namespace runshelf::sidecar {
 namespace {
 
-// What a class that rested may send at once, in seconds of its rate.
+// Capacity of a bucket, as the time in which it fills up at the rate of its class.
 constexpr double kBurstSeconds = 0.1;
+// Upper limit of the returned time, and the value for a rate of zero.
 constexpr Duration kMaxWait = std::chrono::seconds(5);
 
 }  // namespace
--- a/source/sidecar/class_limiter.h
+++ b/source/sidecar/class_limiter.h
@@ -1,5 +1,5 @@
-// Holds the requests of each caller class at one worker below the node's share of the table's
-// limit.
+// Rate limiter for the requests of each caller class at one worker. The rate is the node's share of
+// the limit in the operators' table.
 #pragma once
 
 #include <map>
@@ -9,11 +9,12 @@
 
 namespace runshelf::sidecar {
 
-// A token bucket for each class. Deterministic; not thread-safe.
+// Keeps one token bucket per caller class. Deterministic; not thread-safe.
 class ClassLimiter {
  public:
-  // Takes one request of the class at `rate` requests a second; zero admits none. Returns zero when
-  // it is admitted, else after what time the next one may be.
+  // Takes one token from the bucket of the class, which fills at `rate` tokens per second; a rate
+  // of zero admits no request. Returns zero if the request is admitted, and otherwise the time
+  // until the next request may be admitted, at most 5 s.
   Duration Admit(Instant now, const std::string& caller_class, double rate);
 
  private:
--- a/source/sidecar/request_class.cc
+++ b/source/sidecar/request_class.cc
@@ -7,12 +7,13 @@
 namespace runshelf::sidecar {
 namespace {
 
-// Weights that routes give by default: priority 0 is served first.
+// Default weights by the priority of the route: priority 0 has the highest weight and is served
+// first.
 constexpr uint32_t kTopWeight = 1000;
 constexpr uint32_t kWeightStep = 100;
 constexpr int kLowestPriority = 9;
-// Calls that a worker makes while it runs a request: that run, and its slot, are lost when one is
-// refused, so that they come before all new work.
+// Weight of calls that a worker makes while it runs a request. Refusing one wastes that run and the
+// slot it holds, so these calls are served before all new requests.
 constexpr uint32_t kNestedCallWeight = 2000;
 constexpr const char* kNestedCallClass = "calls";
 
--- a/source/sidecar/request_class.h
+++ b/source/sidecar/request_class.h
@@ -1,4 +1,5 @@
-// Where a request stands in the operators' table, and how it is queued in front of a worker.
+// Classification of requests: the column of the operators' table that applies to a request, and its
+// class and weight in the queue of a worker.
 #pragma once
 
 #include <cstdint>
@@ -9,17 +10,18 @@
 
 namespace runshelf::sidecar {
 
-// The target latency of routes that name none.
+// Target latency of routes that set none.
 constexpr Duration kDefaultTargetLatency = std::chrono::milliseconds(500);
 
 struct RequestClass {
   std::string caller_class;  // Column of the operators' table.
-  std::string queue_class;   // Requests of one take about as long as each other.
+  std::string queue_class;   // Requests of the same queue class have similar run times.
   uint32_t weight = 1;       // Higher is served first.
 };
 
-// `nested`: a worker makes the request while it runs another one. An edited cell of the table goes
-// before what the route gives.
+// Returns the class of a request for `service` on `route`. `nested` is true if a worker sent it
+// while running another request. A cell of the table that an operator has edited overrides the
+// weight derived from the route's priority.
 RequestClass ClassifyRequest(const routes::Route& route, const std::string& service, bool nested,
                              const TableOverrides& table);
 
--- a/source/sidecar/request_counts.h
+++ b/source/sidecar/request_counts.h
@@ -1,4 +1,4 @@
-// Requests of a node, by who sent them to it.
+// Number of requests of a node by type of sender.
 #pragma once
 
 #include <cstddef>
@@ -6,9 +6,9 @@
 namespace runshelf::sidecar {
 
 struct RequestCounts {
-  size_t clients = 0;
-  size_t nested = 0;     // Calls that the worker beside the node makes during its runs.
-  size_t forwarded = 0;  // By other nodes, for that worker.
+  size_t clients = 0;    // Sent by clients of this node.
+  size_t nested = 0;     // Sent by the local worker while it runs another request.
+  size_t forwarded = 0;  // Forwarded by other nodes to the local worker.
 
   size_t total() const { return clients + nested + forwarded; }
   RequestCounts operator+(const RequestCounts& other) const {
--- a/source/sidecar/request_times.cc
+++ b/source/sidecar/request_times.cc
@@ -5,7 +5,8 @@
 namespace runshelf::sidecar {
 namespace {
 
-// Part of its time that a request may wait for keys that change hands: the rest is for its run.
+// Share of its time that a request may wait for the handover of its key. The rest is left for the
+// run.
 constexpr int kHandoverWaitPercent = 40;
 
 }  // namespace
@@ -15,10 +16,11 @@
   const Duration target = limits.target_latency;
   RequestTimes times;
   times.deadline = received + limits.allowed;
-  // A late answer to a nested call still saves the run that waits for it; refusing it does not.
+  // A late answer to a nested call still lets the run that waits for it complete; a refusal does
+  // not.
   times.answer_by = limits.nested ? times.deadline : std::min(times.deadline, received + target);
-  // A refusal within a quarter of the target costs its caller least, if it can come back. One that
-  // cannot waits longer for keys that are changing hands.
+  // A refusal within a quarter of the target latency leaves the caller enough time to retry. A
+  // caller without time for a retry waits longer for the handover of the key instead.
   times.refuse_by =
       limits.nested ? times.deadline : std::min(times.deadline, received + target / 4);
   const Duration handover_wait =
--- a/source/sidecar/request_times.h
+++ b/source/sidecar/request_times.h
@@ -1,26 +1,27 @@
-// Moments by which a request must have been answered, refused or given up.
+// Time limits of a request: when it must have been answered, refused or abandoned.
 #pragma once
 
 #include "runshelf/common/clock.h"
 
 namespace runshelf::sidecar {
 
-// What they follow from.
+// Input of ComputeRequestTimes().
 struct RequestTimeLimits {
   Instant received;
-  Duration allowed{0};          // The sooner of the caller's and the route's time.
-  Duration target_latency{0};   // An answer within it is worth most.
-  bool nested = false;          // A call that the worker beside the node makes during a run.
-  bool short_deadline = false;  // The caller has much less time than others: it cannot come back.
+  Duration allowed{0};          // The smaller of the caller's timeout and the route's.
+  Duration target_latency{0};   // Answers should arrive within this time.
+  bool nested = false;          // Sent by the local worker while it runs another request.
+  bool short_deadline = false;  // Much shorter than usual: the caller has no time for a retry.
 };
 
 struct RequestTimes {
-  Instant deadline{};
-  Instant answer_by{};             // A later answer is worth little.
-  Instant refuse_by{};             // Waits without being offered to a worker end then.
-  Instant wait_for_handover_by{};  // The same while keys are known to be changing hands.
+  Instant deadline{};              // The request is abandoned.
+  Instant answer_by{};             // An answer after this time has little value to the caller.
+  Instant refuse_by{};             // End of waits for a worker to which the request can be sent.
+  Instant wait_for_handover_by{};  // As refuse_by, while the key is known to be handed over.
 };
 
+// Computes the time limits of a request. Deterministic.
 RequestTimes ComputeRequestTimes(const RequestTimeLimits& limits);
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/table_overrides.cc
+++ b/source/sidecar/table_overrides.cc
@@ -5,7 +5,7 @@
 namespace runshelf::sidecar {
 namespace {
 
-// Keys of the store have no leading slash; those of the table do.
+// Keys of store items have no leading slash, keys of the table's records do.
 std::string TableKey(const std::string& key) { return "/" + key; }
 
 }  // namespace
--- a/source/sidecar/table_overrides.h
+++ b/source/sidecar/table_overrides.h
@@ -1,4 +1,5 @@
-// The cells of the operators' table that were edited: they go before what routes give.
+// The cells of the operators' table that were edited. They override the values that follow from the
+// routes.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +12,20 @@
 
 namespace runshelf::sidecar {
 
-// Cells lie in the store under the product's own keys. Not thread-safe.
+// Keeps the edited cells as read from the store. Not thread-safe.
 class TableOverrides {
  public:
-  // True when `key` is one of a cell. A cell that cannot be read is as if it did not exist.
+  // Returns true if `key` is the store key of a cell.
   static bool IsCellKey(const std::string& key);
 
-  // Takes over a cell as it was written; false when it cannot be read.
+  // Applies an item that was written to the store. Returns false if it cannot be decoded; the cell
+  // then counts as not edited.
   bool OnItem(const store::Item& item);
+  // Applies the deletion of an item; ignores keys that are not those of a cell.
   void OnRemoved(const std::string& key);
 
-  // The edited cell; nullptr when there is none.
+  // Returns the edited cell, or nullptr if there is none. The pointer is valid until the next call
+  // of OnItem() or OnRemoved().
   const table::CellValue* Find(const std::string& service, const std::string& caller_class) const;
 
  private:
--- a/tests/sidecar/request_times_test.cc
+++ b/tests/sidecar/request_times_test.cc
@@ -9,10 +9,11 @@
   RequestTimeLimits limits{InstantFromMicroseconds(100000000), std::chrono::milliseconds(2000),
                            std::chrono::milliseconds(400)};
 
+  // Milliseconds from the arrival of the request to `moment`.
   int64_t After(Instant moment) const { return ToMilliseconds(moment - limits.received); }
 };
 
-TEST(RequestTimes, ARequestThatCanComeBackIsRefusedWithinAQuarterOfItsTarget) {
+TEST(RequestTimes, RefusesWithinAQuarterOfTheTargetIfTheCallerCanRetry) {
   const RequestTimes times = ComputeRequestTimes(limits);
   CHECK_EQUAL(2000, After(times.deadline));
   CHECK_EQUAL(400, After(times.answer_by));
@@ -20,7 +21,7 @@
   CHECK_EQUAL(100, After(times.wait_for_handover_by));
 }
 
-TEST(RequestTimes, OneThatIsShortOfTimeWaitsLongerForKeysThatMove) {
+TEST(RequestTimes, ShortDeadlineAllowsLongerWaitForHandover) {
   limits.allowed = std::chrono::milliseconds(300);
   limits.short_deadline = true;
   const RequestTimes times = ComputeRequestTimes(limits);
@@ -29,7 +30,7 @@
   CHECK_EQUAL(120, After(times.wait_for_handover_by));
 }
 
-TEST(RequestTimes, ANestedCallHasUntilItsDeadline) {
+TEST(RequestTimes, NestedCallMayWaitUntilItsDeadline) {
   limits.nested = true;
   const RequestTimes times = ComputeRequestTimes(limits);
   CHECK_EQUAL(2000, After(times.answer_by));
