--- a/source/sidecar/inbound_handler.h
+++ b/source/sidecar/inbound_handler.h
@@ -26,6 +26,7 @@
                  const StopSchedule& stop, double link_bytes_per_second);
   ~InboundHandler();
 
+  // Handles one message of another node; responds with 400 if it cannot be decoded.
   void Handle(const http::ExchangePtr& exchange);
   // Number of requests in progress.
   RequestCounts UnderWay() const;
--- a/source/sidecar/ingress.h
+++ b/source/sidecar/ingress.h
@@ -62,6 +62,7 @@
   void set_configuration_is_behind(std::function<bool()> is_behind) {
     configuration_is_behind_ = std::move(is_behind);
   }
+  // Starts handling a request; responds with 404 if no route matches its host and path.
   void Handle(const http::ExchangePtr& exchange);
   // The shard map changed: requests that wait for the owner of their key repeat the lookup.
   void OnShardsChanged() { RetryWaiting(); }
--- a/source/sidecar/request_flow_quarantine.cc
+++ b/source/sidecar/request_flow_quarantine.cc
@@ -17,9 +17,9 @@
   return *fingerprint_;
 }
 
-// True for a trial, and if workers exited while they ran this request or one with the same
-// fingerprint. Such a request is not retried after a broken attempt: each retry could end another
-// worker of the service, up to the route's limit on attempts.
+// True for a trial, and if workers exited while running this request or one with the same
+// fingerprint, and none has completed since. Such a request is not retried after a broken attempt:
+// each retry could end another worker of the service, up to the route's limit on attempts.
 bool RequestFlow::MayCrashWorkers() {
   return trial_ ||
          (context_.quarantine.watches_any() && context_.quarantine.IsSuspect(Fingerprint()));
@@ -41,8 +41,9 @@
 }
 
 void RequestFlow::BeginTrial(const std::string& node, const std::string& worker_id) {
-  // An earlier attempt of this request may have ended a worker already, so it gets no trial. Trials
-  // are counted in the store, which may be unreachable for seconds: refuse instead of waiting.
+  // No trial if an earlier attempt of this request may have run: it may have ended a worker. No
+  // trial either while trials cannot be counted: the store may be unreachable for seconds, too long
+  // to wait.
   if (may_have_run_ || !context_.quarantine.CanCountTrials()) {
     RefuseQuarantined();
     return;
