--- a/source/sidecar/ingress.cc
+++ b/source/sidecar/ingress.cc
@@ -11,12 +11,12 @@
 
 constexpr int kNotFound = 404;
 constexpr int kServiceUnavailable = 503;
-constexpr const char* kRetryAfterShortly = "0.3";
-// Attempts beyond the first that this node sends to a service, as a part of what the fleet allows.
+constexpr const char* kRetryAfterSeconds = "0.3";
+// Share of the fleet's retry budget that this node uses for all retries to a service.
 constexpr double kRetryShare = 0.6;
-// Of these, runs that are repeated. A repeated run repeats the calls that its worker makes, and
-// those count against the service that is called, on top of its own retries: together the two
-// shares stay below one.
+// Share for retries of requests that may have run. A repeated run also repeats the calls that its
+// worker makes, which load the called service in addition to that service's own retries. The two
+// shares together stay below 1, so that even then the fleet's budget is not exceeded.
 constexpr double kRepeatedRunShare = 0.35;
 
 routing::RetryBudgetConfig BudgetConfig(const FleetBounds& bounds, double share) {
@@ -31,7 +31,8 @@
 
 Ingress::Ingress(const IngressContext& context) : context_(context) {}
 
-// As in InboundHandler: requests that end here make others end.
+// Moves the flows out of the map first: destroying a flow can end other flows, which then call
+// RemoveFlow(). See ~InboundHandler().
 Ingress::~Ingress() { const auto ending = std::exchange(flows_, {}); }
 
 void Ingress::SetConfiguration(std::shared_ptr<const routes::RoutingConfiguration> configuration) {
@@ -56,13 +57,13 @@
   flow->Begin();
 }
 
-bool Ingress::Takes(bool nested, Instant deadline) const {
+bool Ingress::Accepts(bool nested, Instant deadline) const {
   if (context_.stop.TakesNewRequests(context_.loop.Now())) return true;
   return nested && context_.stop.EndsInTime(deadline);
 }
 
-// A route that is missing here may be in a configuration that this node has not got yet. 404 would
-// say that there is none, and clients do not come again.
+// The route may be in a configuration that this node has not received yet. Clients do not retry
+// after a 404, so that case gets a 503.
 void Ingress::AnswerUnknownRoute(const http::ExchangePtr& exchange, const std::string& host,
                                  std::string_view path) {
   if (configuration_is_behind_ && configuration_is_behind_()) {
@@ -84,7 +85,7 @@
                       {"reason", std::string(reason)},
                       {"verdict", VerdictName(Verdict::kNotRun)}});
   http::Headers headers;
-  headers.Add(context_.wire.headers().retry_after, kRetryAfterShortly);
+  headers.Add(context_.wire.headers().retry_after, kRetryAfterSeconds);
   exchange->Respond(kServiceUnavailable, headers, "");
   context_.metrics.OnRequest(RequestOutcome::kRefused, Duration(0));
 }
@@ -95,15 +96,15 @@
   return counts;
 }
 
-void Ingress::LogCut() const {
-  for (const auto& [pointer, flow] : flows_) flow->LogCut();
+void Ingress::LogUnfinished() const {
+  for (const auto& [pointer, flow] : flows_) flow->LogUnfinished();
 }
 
 bool Ingress::IsNestedCall(const http::RequestHead& head) const {
   const std::string* id = head.headers.Find(context_.wire.headers().request_id);
   if (id == nullptr) return false;
   const std::string_view parent = context_.wire.ParentRequestId(*id);
-  return !parent.empty() && context_.gate.Runs(std::string(parent));
+  return !parent.empty() && context_.gate.IsRunning(std::string(parent));
 }
 
 void Ingress::RetryWaiting() {
@@ -111,10 +112,10 @@
   for (const auto& [pointer, flow] : flows_) {
     if (flow->waiting_for_owner()) waiting.push_back(flow);
   }
-  for (const auto& flow : waiting) flow->RetryOwner();
+  for (const auto& flow : waiting) flow->RetryOwnerLookup();
 }
 
-Ingress::ServiceBudgets& Ingress::BudgetsOf(const std::string& service) {
+Ingress::ServiceBudgets& Ingress::RetryBudgetsFor(const std::string& service) {
   const FleetBounds& bounds = context_.settings.bounds;
   const auto [found, added] = budgets_.try_emplace(
       service, ServiceBudgets{routing::RetryBudget(BudgetConfig(bounds, kRetryShare)),
@@ -128,20 +129,20 @@
 
 void Ingress::OnFirstAttempt(const std::string& service) {
   const Instant now = context_.loop.Now();
-  ServiceBudgets& budgets = BudgetsOf(service);
+  ServiceBudgets& budgets = RetryBudgetsFor(service);
   budgets.retries.OnFirstAttempt(now);
   budgets.repeated_runs.OnFirstAttempt(now);
 }
 
-bool Ingress::TakeRetry(const std::string& service, RetryKind kind) {
+bool Ingress::TryConsumeRetry(const std::string& service, RetryKind kind) {
   const Instant now = context_.loop.Now();
-  ServiceBudgets& budgets = BudgetsOf(service);
+  ServiceBudgets& budgets = RetryBudgetsFor(service);
   if (kind == RetryKind::kRepeatedRun && !budgets.repeated_runs.TryRetry(now)) return false;
   if (!budgets.retries.TryRetry(now)) return false;
   ++retries_;
   return true;
 }
 
-void Ingress::Forget(RequestFlow* flow) { flows_.erase(flow); }
+void Ingress::RemoveFlow(RequestFlow* flow) { flows_.erase(flow); }
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/worker_monitor.h
+++ b/source/sidecar/worker_monitor.h
@@ -24,7 +24,7 @@
 // Handles the worker's heartbeats and leave notices, and probes its health check while it is not
 // heard. A leave notice also applies after a restart of this process, so it is written to the store
 // before it is acknowledged. Not thread-safe.
-class WorkerMonitor : public WorkerEvidence {
+class WorkerMonitor : public WorkerObserver {
  public:
   struct Observer {
     // The worker's identity, state or slots changed, or no worker was found after the start.
