--- a/source/sidecar/worker_gate.cc
+++ b/source/sidecar/worker_gate.cc
@@ -11,17 +11,18 @@
 constexpr int kMultipleChoices = 300;
 constexpr int kMisdirected = 421;
 constexpr int kServiceUnavailable = 503;
-// The deadline passed in the worker: what the run would have come to is not known.
+// The deadline passed in the worker, so the outcome of the run is unknown.
 constexpr int kGatewayTimeout = 504;
 constexpr Duration kTickInterval = std::chrono::milliseconds(20);
-// How long after the deadline a request that nobody cancelled is given up.
+// An attempt is abandoned this long after its deadline unless its owner cancels it before.
 constexpr Duration kDeadlineSlack = std::chrono::milliseconds(100);
 
 bool IsSuccess(int status) { return status >= kOk && status < kMultipleChoices; }
 
 admission::AdmissionConfig QueueConfig() {
   admission::AdmissionConfig config;
-  // Order by weight protects callers enough; a reserve would leave slots empty.
+  // No slots are reserved for higher weights: ordering by weight protects those callers enough, and
+  // a reserve would leave slots empty.
   config.share_below_higher_weight = 1.0;
   config.share_of_highest_weight = 1.0;
   config.queue_max = 400;
@@ -30,7 +31,7 @@
 
 }  // namespace
 
-// A request that waits for a slot or is at the worker.
+// A request that is queued for a slot or was sent to the worker.
 class WorkerGate::GateAttempt : public Attempt, public http::ResponseObserver {
  public:
   GateAttempt(WorkerGate* gate, AttemptRequest request, AttemptObserver* observer)
@@ -43,7 +44,7 @@
   ~GateAttempt() override {
     call_.reset();
     if (registered_) {
-      // The caller left, while the worker may be at work.
+      // The attempt is cancelled while the worker may still be running the request.
       if (sent_) gate_->RecordInterrupted(request_, sent_at_, /*by_caller=*/true);
       Unregister();
       gate_->Withdraw(id_, sent_, Elapsed());
@@ -80,7 +81,8 @@
     if (call_ != nullptr) call_->Resume();
   }
 
-  // A slot is free.
+  // Called when the request is given a slot. Checks again whether it may be sent, since that may
+  // have changed while it was queued.
   void Send() {
     const Instant now = gate_->loop_.Now();
     auto rejection = gate_->RejectionReason(request_);
@@ -116,7 +118,8 @@
       HandleMisdirected(head);
       return;
     }
-    // Each request names the worker that is meant, and any other one says 421.
+    // Each request names the expected worker, and any other worker answers 421; so this answer is
+    // from the expected one.
     ReportAnswer();
     if (head.headers.Has(names.not_executed)) {
       refusal_ = FailureReason::kWorkerRefused;
@@ -172,14 +175,15 @@
         sent_at_, call_ == nullptr ? Instant::max() : call_->connection_made_at());
   }
 
-  // Whatever it is, the worker does not vouch for it; and the request was sent.
+  // Fails the attempt after a 2xx answer without the worker's stamp. The request was sent, so it
+  // may have run.
   void FailUnstamped() {
     if (gate_->worker_observer_ != nullptr) {
       gate_->worker_observer_->OnUnstampedSuccess(request_.request_id,
                                                   call_->on_reused_connection());
     }
     call_.reset();
-    // The worker may be at work on the request.
+    // The worker may still be running the request.
     gate_->RecordInterrupted(request_, sent_at_, /*by_caller=*/true);
     ReleaseSlot(admission::Completion::kFailed);
     Fail({Verdict::kMayHaveRun, FailureReason::kUnstamped, true, Duration(0)});
@@ -202,7 +206,8 @@
   }
 
   http::AnswerMatch Match() const {
-    // A worker refuses a request without an id, and has none to repeat.
+    // The worker refuses a request without an id and has none to echo, so the answer can only be
+    // matched by its connection.
     if (request_.request_id.empty()) return http::AnswerMatch::OwnConnection();
     return http::AnswerMatch::EchoedHeader(gate_->wire_.headers().request_id, request_.request_id);
   }
@@ -244,7 +249,7 @@
   std::optional<FailureReason> refusal_;
   bool overloaded_ = false;
   bool answering_ = false;
-  int status_ = 0;  // Of the answer.
+  int status_ = 0;  // HTTP status of the answer.
   bool registered_ = false;
   bool sent_ = false;
   Instant sent_at_{};
@@ -283,11 +288,12 @@
   }
   if (request.deadline <= loop_.Now()) return FailureReason::kExpired;
   if (Quarantined(request)) return FailureReason::kQuarantined;
-  // Without a configuration nobody here knows whether the worker must hold the key.
+  // Without a configuration it is unknown whether the service is sharded by key.
   const bool known = key_authority_ == nullptr || key_authority_->Sharded().has_value();
   if (!known && request.key.has_value()) return FailureReason::kNoWorker;
   if (RequiresKeyOwner(request)) {
-    // A draining worker serves its keys until they have been handed over, for as long as allowed.
+    // A draining worker serves its keys until they are handed over, at most until
+    // drain_keys_until_.
     if (draining_ && loop_.Now() >= drain_keys_until_) return FailureReason::kDraining;
     if (!key_authority_->MaySend(loop_.Now(), *request.key)) return FailureReason::kNotOwner;
     return std::nullopt;
@@ -315,7 +321,7 @@
 }
 
 void WorkerGate::Apply(const admission::AdmissionChanges& changes) {
-  // Each step may destroy attempts, so every one is looked up again.
+  // Observers may destroy attempts in each step, so every id is looked up again.
   for (const uint64_t id : changes.started) {
     const auto found = attempts_.find(id);
     if (found != attempts_.end()) {
@@ -360,11 +366,12 @@
 bool WorkerGate::Quarantined(const AttemptRequest& request) const {
   if (quarantine_ == nullptr || !quarantine_->watches_any()) return false;
   const RequestFingerprint fingerprint = FingerprintOfAttempt(request);
-  // What the node that took the request has seen run well is as good as a run here.
+  // `excused_ends` counts the worker ends since which the node that received the request from the
+  // caller has seen it complete. Such a run is taken as proof here too.
   if (!quarantine_->IsSuspect(fingerprint, request.excused_ends)) return false;
   if (!request.trial && quarantine_->IsQuarantined(fingerprint, request.excused_ends)) return true;
-  // Requests that waited for the worker together would each be a run that ends it. For an innocent
-  // one this lasts until its first good run here.
+  // Only one copy of a suspect runs at a time: copies that are queued together could otherwise each
+  // end the worker. For a harmless request this lasts until its first completed run here.
   return IsRunningAtWorker(fingerprint);
 }
 
--- a/source/sidecar/worker_gate.h
+++ b/source/sidecar/worker_gate.h
@@ -1,4 +1,5 @@
-// The only way to the worker of this machine: queue, checks and the connections to it.
+// Admission gate in front of the local worker. Every request to the worker passes through it: the
+// gate checks whether the worker may run the request, queues it for a slot and sends it.
 #pragma once
 
 #include <cstdint>
@@ -21,35 +22,37 @@
 
 namespace runshelf::sidecar {
 
-// Tells whether the worker may be sent requests for a key now.
+// Decides whether the local worker may be sent requests for a shard key.
 class KeyAuthority {
  public:
   virtual ~KeyAuthority() = default;
-  // The service of the worker is divided by key; nullopt while no configuration tells.
+  // True if the worker's service is sharded by key; nullopt until a configuration is known.
   virtual std::optional<bool> Sharded() const = 0;
+  // True if the worker holds `key` at `now`, so that requests for it may be sent.
   virtual bool MaySend(Instant now, sharding::ShardKey key) const = 0;
-  // A request for the key asks for a slot; for measuring load. What is refused counts as well: an
-  // overloaded worker is the one whose load must be known.
+  // Called for each request for `key` that asks for a slot, to measure the load of the key. Refused
+  // requests count too; otherwise the load of an overloaded worker would be underestimated.
   virtual void OnKeyOffered(sharding::ShardKey key) = 0;
-  // The worker said that it does not hold the key.
+  // Called when the worker rejects a request because it does not hold `key`.
   virtual void OnKeyRefused(sharding::ShardKey key) = 0;
 };
 
-// What the gate learns about the worker, from its answers.
+// Receives what the gate learns about the worker from its answers and connections.
 class WorkerObserver {
  public:
   virtual ~WorkerObserver() = default;
-  // The worker answered a request that was sent to it at `sent`, and to no other, on a connection
-  // that was made at `connection_made`.
+  // The worker answered a request that was sent at `sent` and names it as the expected worker. The
+  // connection was established at `connection_made`.
   virtual void OnWorkerAnswered(Instant sent, Instant connection_made) = 0;
-  // No connection could be made, or one was lost.
+  // A connection to the worker could not be established, or was lost.
   virtual void OnWorkerUnreachable() = 0;
-  // The answer to a request is a success for which the worker does not vouch.
+  // A 2xx answer lacks the header by which the worker confirms that it ran the request.
   virtual void OnUnstampedSuccess(const std::string& request_id, bool on_reused_connection) = 0;
-  // A worker that states another identity is at the address.
+  // The worker at the address reports a different identity.
   virtual void OnOtherWorker(const std::string& stated_identity) = 0;
 };
 
+// Not thread-safe: belongs to the thread of `loop`.
 class WorkerGate {
  public:
   WorkerGate(event::EventLoop& loop, http::ConnectionPool& pool, const WireFormat& wire,
@@ -61,33 +64,40 @@
   void set_key_authority(KeyAuthority* authority) { key_authority_ = authority; }
   void set_worker_observer(WorkerObserver* observer) { worker_observer_ = observer; }
 
-  // Requests a second that a caller class may send to this worker; nullopt: as many as it likes.
+  // Returns the rate limit of a caller class at this worker in requests per second; nullopt: no
+  // limit.
   using RateSource = std::function<std::optional<double>(const std::string& caller_class)>;
   void set_rate_source(RateSource source) { rate_source_ = std::move(source); }
 
   void set_quarantine(RequestQuarantine* quarantine) { quarantine_ = quarantine; }
 
-  // Another worker, or none (an empty identity), is beside this node.
+  // Sets the local worker; an empty `worker_id` means that there is none. A change of identity
+  // closes idle connections and refuses queued requests that the new worker may not run.
   void SetWorker(const std::string& worker_id, const std::string& service, uint32_t slots);
-  // A draining worker gets nothing new, and what waits is refused; but for requests with keys,
-  // which it may be sent until `keys_until` while they are being handed over.
+  // While the worker drains, new and queued requests are refused. Requests whose key it holds are
+  // still sent until `keys_until`, while the keys are handed over.
   void SetDraining(bool draining, Instant keys_until);
-  // The process ends: what waits is refused, and everything that comes.
+  // Refuses all queued and later requests because the process is stopping. Requests that were sent
+  // continue.
   void Close();
+  // Reports the worker as cold in `load()` until `cold_until`.
   void SetColdUntil(Instant cold_until) { cold_until_ = cold_until; }
 
-  // No other worker may run the request: its key decides.
+  // True if only the owner of the request's key may run it.
   bool RequiresKeyOwner(const AttemptRequest& request) const;
+  // Creates an attempt at the local worker; nothing is queued or sent before Attempt::Begin().
+  // `observer` and the gate must outlive the attempt.
   std::unique_ptr<Attempt> Submit(const AttemptRequest& request, AttemptObserver* observer);
 
   routing::TargetLoad load() const;
-  // Smoothed time that a request holds a slot; zero until one was measured.
+  // Smoothed time for which a request holds a slot; zero until the first measurement.
   Duration ServiceTime() const { return queue_.ServiceTime(); }
   const std::string& worker_id() const { return worker_id_; }
-  // True while the worker is at work on the request with this id, as far as the gate knows.
+  // True while a sent request with this id has neither been answered nor given up. The worker may
+  // still be running a request that was given up.
   bool IsRunning(const std::string& request_id) const { return running_ids_.contains(request_id); }
   size_t running() const { return queue_.running(); }
-  // The worker has ended: the requests that were at work in it then. Each is told once.
+  // Returns the requests that were running in a worker whose process ended; each is returned once.
   std::vector<InterruptedRequest> TakeAtWork(const std::string& worker_id) {
     return interrupted_.TakeAtWork(loop_.Now(), worker_id);
   }
@@ -97,21 +107,25 @@
 
   void Offer(GateAttempt* attempt);
   RequestFingerprint FingerprintOfAttempt(const AttemptRequest& request) const;
-  // In quarantine, and no trial; or a suspect that is at work in the worker. The node that took the
-  // request may not know of it.
+  // True if the request must not be sent: it is quarantined and not a trial, or it is a suspect of
+  // which another copy is running. Checked here as well because the node that received the
+  // request from the caller may not know of the quarantine yet.
   bool Quarantined(const AttemptRequest& request) const;
   bool IsRunningAtWorker(const RequestFingerprint& fingerprint) const;
   void RecordCompletedRun(const AttemptRequest& request, int status);
-  // Zero: the class is below its limit, and one request of it was counted.
+  // Returns zero and counts one request when the class is below its rate limit, else the time until
+  // the next request of the class may be sent.
   Duration RateLimitDelay(const std::string& caller_class);
   void Apply(const admission::AdmissionChanges& changes);
   void OnSlotFree(uint64_t id, admission::Completion completion, Duration service_time);
   void Withdraw(uint64_t id, bool sent, Duration service_time);
-  // Why a request may not be sent to the worker now; nullopt: it may.
+  // Returns why the request may not be sent to the worker now; nullopt if it may.
   std::optional<FailureReason> RejectionReason(const AttemptRequest& request) const;
+  // Refuses the queued requests that may no longer be sent.
   void RefuseWaiting();
   void EraseRunning(const std::string& request_id);
-  // The connection on which the request was sent at `sent_at` went without its answer.
+  // Records that the connection closed before the answer was complete. `by_caller`: closed on this
+  // side, so that the worker may still be running the request.
   void RecordInterrupted(const AttemptRequest& request, Instant sent_at, bool by_caller);
   void ScheduleTick();
 
@@ -133,8 +147,8 @@
   Instant cold_until_{};
   admission::AdmissionQueue queue_;
   event::Timer tick_;
-  std::unordered_map<uint64_t, GateAttempt*> attempts_;  // Waiting or sent.
-  std::unordered_multiset<std::string> running_ids_;     // Of the requests that were sent.
+  std::unordered_map<uint64_t, GateAttempt*> attempts_;  // Queued or sent, by attempt id.
+  std::unordered_multiset<std::string> running_ids_;     // Request ids that were sent.
   InterruptedRequests interrupted_;
   uint64_t next_id_ = 1;
 };
