--- a/source/sidecar/answer_pacer.cc
+++ b/source/sidecar/answer_pacer.cc
@@ -6,9 +6,9 @@
 namespace runshelf::sidecar {
 namespace {
 
-// The rest of the link is left to small answers, requests and the overhead of packets.
+// The rest of the link is left for small answers, requests and packet overhead.
 constexpr double kShareOfLink = 0.8;
-// At most this much of the link's time is filled at once.
+// A burst is at most what the pacer's rate allows in this time.
 constexpr double kBurstSeconds = 0.006;
 constexpr double kMinBurstBytes = 8192;
 constexpr double kSizeSmoothing = 0.1;
@@ -80,7 +80,8 @@
     const size_t waiting = answer->waiting_bytes();
     const size_t limit =
         bytes_per_second_ <= 0 ? waiting : std::min(waiting, static_cast<size_t>(kMinBurstBytes));
-    // Out of bytes, or ended: it comes back when it has more. It may be gone after the call.
+    // The answer runs out of waiting bytes and is queued again when it has more. It is removed
+    // before the call, which may destroy it.
     if (limit >= waiting) waiting_.erase(next);
     const size_t written = answer->WritePaced(limit);
     if (written == 0) std::erase(waiting_, answer);
--- a/source/sidecar/answer_pacer.h
+++ b/source/sidecar/answer_pacer.h
@@ -1,10 +1,10 @@
-// Shares the machine's link between large answers to other nodes, so that small ones never wait
+// Paces large answers to other nodes on the machine's link, so that small answers are not queued
 // behind them.
 //
 // A large answer that is written as fast as the worker produces it fills the queue of a slow link,
 // and every small answer then waits for the whole queue. The pacer writes large answers one after
-// the other, at somewhat less than the bandwidth of the link: the one that is wanted first goes
-// first, and those that can no longer be in time for their target yield to those that can.
+// the other, at somewhat less than the bandwidth of the link. Answers that can still be complete by
+// their due time go first, and among these or the rest the one that is due first.
 #pragma once
 
 #include <cstdint>
@@ -14,58 +14,66 @@
 
 namespace runshelf::sidecar {
 
-// An answer of which bytes wait to be written.
+// An answer with bytes waiting to be written.
 class PacedAnswer {
  public:
   virtual ~PacedAnswer() = default;
-  // Writes at most `max_bytes` of what waits and returns how many were written; zero: the reader is
-  // slow, and the answer asks again. May end and destroy the answer.
+  // Writes at most `max_bytes` of the waiting bytes and returns the number written. Zero means that
+  // the reader is slow; the answer then calls AnswerPacer::Enqueue again once the reader is ready.
+  // May complete and destroy the answer.
   virtual size_t WritePaced(size_t max_bytes) = 0;
   virtual size_t waiting_bytes() const = 0;
-  // Bytes until the answer is whole, those included that have not come from the worker yet, if its
-  // length is known.
+  // Bytes left to write until the answer is complete. Includes bytes that the worker has not sent
+  // yet if the length of the answer is known.
   virtual uint64_t bytes_to_write() const = 0;
-  // When the caller wants the whole answer; later it is worth less.
+  // When the caller wants the complete answer; a later one is worth less.
   virtual Instant due_time() const = 0;
 };
 
+// Token bucket for the large answers of one machine. Belongs to the thread of its event loop.
 class AnswerPacer {
  public:
-  // `link_bytes_per_second` is the bandwidth of the machine's link; zero: no bound.
+  // `link_bytes_per_second` is the bandwidth of the machine's link; zero: unlimited.
   AnswerPacer(event::EventLoop& loop, double link_bytes_per_second);
   AnswerPacer(const AnswerPacer&) = delete;
   AnswerPacer& operator=(const AnswerPacer&) = delete;
 
-  // Bytes of `answer` wait; it is written when its turn comes, at once if the link allows.
+  // Queues `answer`, which has bytes waiting, unless it is queued already. Writes at once if the
+  // link allows, and may thus destroy answers.
   void Enqueue(PacedAnswer* answer);
-  // `answer` is about to be destroyed.
+  // Removes `answer` from the queue; to be called before it is destroyed.
   void Remove(PacedAnswer* answer);
 
-  // A request whose answer is expected to be large was admitted, or its answer is on its way.
+  // Counts a request that was admitted and whose large answer is not yet complete, for
+  // ExpectedDelay().
   void OnAnswerExpected() { ++expected_answers_; }
   void OnAnswerNoLongerExpected() { --expected_answers_; }
+  // Records the size in bytes of a complete large answer.
   void OnAnswerSize(uint64_t bytes);
-  // Time until one more large answer could be written whole, by what waits and what is expected.
+  // Estimated time until one more large answer would be written completely, from the waiting bytes
+  // and the expected answers.
   Duration ExpectedDelay() const;
 
  private:
+  // Adds the tokens for the time since the last refill, up to the burst size.
   void Refill();
+  // Writes while tokens are left, and sets the timer if answers still wait.
   void WriteAllowed();
-  // Of the answers that wait, the one to be written next.
+  // Returns the waiting answer to be written next.
   std::deque<PacedAnswer*>::iterator MostUrgent();
-  // Even with the link to itself, the answer would be whole only after it is wanted.
+  // True if the answer would miss its due time even if it had the link to itself.
   bool IsLate(const PacedAnswer& answer, Instant now) const;
 
   event::EventLoop& loop_;
   double bytes_per_second_;
   double burst_bytes_;
-  double allowed_bytes_;  // May be written now; below zero after a burst was overdrawn.
+  double allowed_bytes_;  // Tokens; negative after an overdraft.
   Instant refilled_at_;
-  std::deque<PacedAnswer*> waiting_;  // In order of arrival.
+  std::deque<PacedAnswer*> waiting_;  // In order of Enqueue.
   event::Timer timer_;
   int64_t expected_answers_ = 0;
-  double answer_bytes_ = 0;  // Smoothed size of a large answer; zero until one was seen.
-  bool writing_ = false;
+  double answer_bytes_ = 0;  // Smoothed size of a large answer; zero until the first one.
+  bool writing_ = false;     // WriteAllowed() is running; an answer may call Enqueue from it.
 };
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/answer_relay.cc
+++ b/source/sidecar/answer_relay.cc
@@ -6,10 +6,11 @@
 namespace runshelf::sidecar {
 namespace {
 
-// Answers up to this size are held until they are complete, so that one that breaks off can be
-// asked for again and one write suffices.
+// Answers up to this size are buffered until they are complete, so that the request can be retried
+// if the answer breaks off, and so that one write suffices.
 constexpr size_t kMaxBufferedBodyBytes = size_t{32} * 1024;
-// Bytes that wait for a slow reader before the sender is held back, and below which it goes on.
+// Reading from the worker pauses when this many bytes wait for a slow reader, and resumes when no
+// more than the low-water mark wait.
 constexpr size_t kHighWaterBytes = size_t{256} * 1024;
 constexpr size_t kLowWaterBytes = size_t{64} * 1024;
 
@@ -86,7 +87,7 @@
   }
 }
 
-// May end the answer and destroy the relay.
+// May complete the answer and destroy the relay.
 void AnswerRelay::ResumeIfDrained() {
   if (!paused_ || attempt_ == nullptr) return;
   if (exchange_->unsent_bytes() + waiting_bytes() > kLowWaterBytes) return;
--- a/source/sidecar/answer_relay.h
+++ b/source/sidecar/answer_relay.h
@@ -1,4 +1,5 @@
-// Passes the answer of an attempt on to whoever asked: small ones whole, large ones as they come.
+// Passes the answer of an attempt on to the client of an HTTP exchange. Small answers are buffered
+// and written whole; large ones are streamed.
 #pragma once
 
 #include <functional>
@@ -12,28 +13,32 @@
 
 namespace runshelf::sidecar {
 
+// Relays one answer, with backpressure on the attempt while the reader is slow.
 class AnswerRelay : private PacedAnswer {
  public:
-  // Answers are passed on as they come.
+  // Streams large answers without pacing.
   explicit AnswerRelay(http::ExchangePtr exchange) : exchange_(std::move(exchange)) {}
-  // Large answers are written when `pacer` allows, which must outlive the relay; the caller wants
-  // them whole by `due_time`.
+  // Streams large answers at the rate that `pacer` allows; `pacer` must outlive the relay. The
+  // caller wants the complete answer by `due_time`.
   AnswerRelay(http::ExchangePtr exchange, AnswerPacer* pacer, Instant due_time)
       : exchange_(std::move(exchange)), pacer_(pacer), due_time_(due_time) {}
   ~AnswerRelay() override;
   AnswerRelay(const AnswerRelay&) = delete;
   AnswerRelay& operator=(const AnswerRelay&) = delete;
 
-  // `attempt` is paused while the reader is slow; it must outlive the relay or be reset.
+  // `attempt` is paused while the reader is slow. It must outlive the relay, or be replaced by
+  // nullptr before it is destroyed.
   void set_attempt(Attempt* attempt) { attempt_ = attempt; }
+  // Takes the head of the answer, which may still be changed through head().
   void OnHead(http::ResponseHead&& head);
+  // Takes the next part of the body.
   void OnBody(std::string_view data);
-  // The answer is whole. `on_written` is called once all of it was written, possibly at once; it
-  // may destroy the relay.
+  // Completes the answer. `on_written` is called once all of it has been written, possibly before
+  // this call returns; it may destroy the relay.
   void OnComplete(std::function<void()> on_written);
-  // Forgets an answer of which nothing was passed on yet.
+  // Discards a buffered answer, so that another attempt can answer. Not allowed while streaming.
   void Reset();
-  // Part of the answer has been passed on: it can only go on or break off.
+  // True once part of the answer has been passed on, after which no other answer can replace it.
   bool streaming() const { return streaming_; }
   const http::ResponseHead& head() const { return head_; }
   http::ResponseHead& head() { return head_; }
@@ -56,9 +61,9 @@
   Instant due_time_{};
   Attempt* attempt_ = nullptr;
   http::ResponseHead head_;
-  std::string body_;    // Held, or waiting to be written.
-  size_t written_ = 0;  // Bytes of the front of `body_` that were written.
-  uint64_t size_ = 0;   // Bytes of the body so far.
+  std::string body_;    // Buffered or waiting to be written.
+  size_t written_ = 0;  // Bytes at the front of `body_` that were written.
+  uint64_t size_ = 0;   // Body bytes received so far.
   bool body_complete_ = false;
   std::function<void()> on_written_;
   bool streaming_ = false;
--- a/source/sidecar/remote_attempt.cc
+++ b/source/sidecar/remote_attempt.cc
@@ -72,8 +72,8 @@
 
 void RemoteAttempt::OnClientFailure(http::ClientFailure failure) {
   peers_.OnFailure(loop_.Now(), node_);
-  // A node that ended has broken its other connections too: the next attempt must find that out
-  // before it sends anything.
+  // If the node terminated, its other connections are broken as well. Without them, the next
+  // attempt has to connect and finds an unreachable node before it sends the request.
   pool_.CloseIdle(endpoint_);
   AttemptFailure result;
   if (http::CertainlyNotSent(failure)) {
--- a/source/sidecar/remote_attempt.h
+++ b/source/sidecar/remote_attempt.h
@@ -1,4 +1,4 @@
-// An attempt by the worker of another machine, through the node beside it.
+// An attempt at a worker on another machine, sent through the node next to that worker.
 #pragma once
 
 #include <memory>
@@ -11,8 +11,12 @@
 
 namespace runshelf::sidecar {
 
+// Forwards one request to a peer node and passes its answer to the observer. Also reports traffic,
+// load and failures of the peer to the PeerDirectory.
 class RemoteAttempt : public Attempt, public http::ResponseObserver {
  public:
+  // `node` is the id of the peer and `endpoint` its address. The references and `observer` must
+  // outlive the attempt.
   RemoteAttempt(event::EventLoop& loop, http::ConnectionPool& pool, PeerDirectory& peers,
                 std::string node, event::Endpoint endpoint, AttemptRequest request,
                 AttemptObserver* observer);
@@ -36,8 +40,8 @@
   AttemptRequest request_;
   AttemptObserver* observer_;
   std::unique_ptr<http::ClientCall> call_;
-  std::optional<AttemptFailure> failure_;
-  bool answering_ = false;
+  std::optional<AttemptFailure> failure_;  // Failure that the peer reported in the answer's head.
+  bool answering_ = false;                 // The answer's head was passed to the observer.
 };
 
 }  // namespace runshelf::sidecar
--- a/source/sidecar/unresolved_attempts.cc
+++ b/source/sidecar/unresolved_attempts.cc
@@ -5,12 +5,15 @@
 namespace runshelf::sidecar {
 namespace {
 
-// A node that is lost breaks off the attempts of all others at its worker, some dozens in all.
+// The failure of a node breaks off the attempts of all other nodes at its worker: some dozens in
+// total.
 constexpr size_t kMaxEntries = 256;
-// A node that was killed is back within seconds. What ends much later had other reasons.
+// A node that was killed is back within seconds. A worker that ends much later did so for other
+// reasons.
 constexpr Duration kMaxAge = std::chrono::seconds(10);
-// The node beside the worker tells of its end before it announces the next one; its item takes the
-// time of a change of the state, some hundred milliseconds, and a second while the store is slow.
+// The node next to the worker reports the end before it announces the next worker. The reported
+// item reaches other nodes like any change of the state: within some hundred milliseconds, or a
+// second while the store is slow.
 constexpr Duration kReportGracePeriod = std::chrono::seconds(1);
 
 }  // namespace
--- a/source/sidecar/unresolved_attempts.h
+++ b/source/sidecar/unresolved_attempts.h
@@ -1,4 +1,5 @@
-// Attempts at workers beside other nodes that broke off, until it shows whether the worker ended.
+// Broken-off attempts at workers of other nodes, kept until it is known whether the worker's
+// process ended.
 #pragma once
 
 #include <deque>
@@ -12,26 +13,30 @@
 
 namespace runshelf::sidecar {
 
-// The node beside a worker counts its end. When that node is lost in the same moment, nobody would
-// know of the end but those whose attempts broke off; that another worker is beside the node, once
-// it is back, tells them that the former one ended.
-// Deterministic; not thread-safe. Bounded, however many attempts break off.
+// The end of a worker is normally reported by the node next to it. If that node fails at the same
+// time, only the nodes whose attempts broke off can report the end. They infer it once the node is
+// back and announces a different worker.
+// Deterministic; not thread-safe. Holds a bounded number of attempts.
 class UnresolvedAttempts {
  public:
+  // An attempt that broke off after the request may have been run.
   struct Attempt {
-    std::string node;
-    std::string worker_id;  // Of the incarnation.
+    std::string node;       // The node next to the worker.
+    std::string worker_id;  // Identity of the worker, with its incarnation if known.
     RequestFingerprint request;
   };
 
-  // Tells whether two identities may be those of one worker: what is known of one may be less.
+  // Returns whether two identities may belong to the same worker. One of them may be known only in
+  // part, for instance without its incarnation.
   using MayBeSame = std::function<bool(const std::string& worker_id, const std::string& other)>;
   explicit UnresolvedAttempts(MayBeSame may_be_same) : may_be_same_(std::move(may_be_same)) {}
 
+  // Records an attempt that broke off at `now`. Drops the oldest one when full.
   void Add(Instant now, Attempt attempt);
-  // The node says that this worker is beside it; empty: it knows of none.
+  // The node announces this worker as its own; an empty `worker_id` means that it knows of none.
   void OnWorkerAt(Instant now, const std::string& node, const std::string& worker_id);
-  // Those whose worker ended, and whose node had its time to tell of it; forgets them.
+  // Removes and returns the attempts whose worker ended and whose node has had time to report the
+  // end itself.
   std::vector<Attempt> TakeEnded(Instant now);
   bool empty() const { return attempts_.empty(); }
 
@@ -39,11 +44,11 @@
   struct Entry {
     Attempt attempt;
     Instant broken_at{};
-    Instant replaced_at{};  // Instant{}: the worker may live.
+    Instant replaced_at{};  // When another worker was announced; Instant{}: not yet.
   };
 
   MayBeSame may_be_same_;
-  std::deque<Entry> attempts_;  // By `broken_at`.
+  std::deque<Entry> attempts_;  // Ordered by `broken_at`.
 };
 
 }  // namespace runshelf::sidecar
