--- a/source/sidecar/worker_gate.h
+++ b/source/sidecar/worker_gate.h
@@ -41,8 +41,8 @@
 class WorkerObserver {
  public:
   virtual ~WorkerObserver() = default;
-  // The worker answered a request that was sent at `sent` and names it as the expected worker. The
-  // connection was established at `connection_made`.
+  // The expected worker, not another one at its address, answered a request that was sent at `sent`
+  // on a connection established at `connection_made`.
   virtual void OnWorkerAnswered(Instant sent, Instant connection_made) = 0;
   // A connection to the worker could not be established, or was lost.
   virtual void OnWorkerUnreachable() = 0;
@@ -61,6 +61,8 @@
   WorkerGate(const WorkerGate&) = delete;
   WorkerGate& operator=(const WorkerGate&) = delete;
 
+  // Each of these is optional and must outlive the gate. Without a key authority, keys are not
+  // checked; without a quarantine, no request counts as a suspect.
   void set_key_authority(KeyAuthority* authority) { key_authority_ = authority; }
   void set_worker_observer(WorkerObserver* observer) { worker_observer_ = observer; }
 
@@ -74,8 +76,9 @@
   // Sets the local worker; an empty `worker_id` means that there is none. A change of identity
   // closes idle connections and refuses queued requests that the new worker may not run.
   void SetWorker(const std::string& worker_id, const std::string& service, uint32_t slots);
-  // While the worker drains, new and queued requests are refused. Requests whose key it holds are
-  // still sent until `keys_until`, while the keys are handed over.
+  // While the worker drains, new and queued requests are refused. If the service is sharded,
+  // requests for keys that the worker holds are still sent until `keys_until`, while the keys are
+  // handed over.
   void SetDraining(bool draining, Instant keys_until);
   // Refuses all queued and later requests because the process is stopping. Requests that were sent
   // continue.
@@ -89,6 +92,7 @@
   // `observer` and the gate must outlive the attempt.
   std::unique_ptr<Attempt> Submit(const AttemptRequest& request, AttemptObserver* observer);
 
+  // Running and queued requests, slots and cold start, as other nodes use them for routing.
   routing::TargetLoad load() const;
   // Smoothed time for which a request holds a slot; zero until the first measurement.
   Duration ServiceTime() const { return queue_.ServiceTime(); }
@@ -105,6 +109,7 @@
  private:
   class GateAttempt;
 
+  // Puts the attempt into the admission queue; it may be sent or refused at once.
   void Offer(GateAttempt* attempt);
   RequestFingerprint FingerprintOfAttempt(const AttemptRequest& request) const;
   // True if the request must not be sent: it is quarantined and not a trial, or it is a suspect of
@@ -112,12 +117,16 @@
   // request from the caller may not know of the quarantine yet.
   bool Quarantined(const AttemptRequest& request) const;
   bool IsRunningAtWorker(const RequestFingerprint& fingerprint) const;
+  // Tells the quarantine that the request ran to an answer. A 504 proves nothing: the deadline may
+  // have cut the run off.
   void RecordCompletedRun(const AttemptRequest& request, int status);
   // Returns zero and counts one request when the class is below its rate limit, else the time until
   // the next request of the class may be sent.
   Duration RateLimitDelay(const std::string& caller_class);
+  // Sends or refuses the attempts that the queue has decided on.
   void Apply(const admission::AdmissionChanges& changes);
   void OnSlotFree(uint64_t id, admission::Completion completion, Duration service_time);
+  // Removes a cancelled or expired attempt from its slot or from the queue.
   void Withdraw(uint64_t id, bool sent, Duration service_time);
   // Returns why the request may not be sent to the worker now; nullopt if it may.
   std::optional<FailureReason> RejectionReason(const AttemptRequest& request) const;
@@ -127,6 +136,7 @@
   // Records that the connection closed before the answer was complete. `by_caller`: closed on this
   // side, so that the worker may still be running the request.
   void RecordInterrupted(const AttemptRequest& request, Instant sent_at, bool by_caller);
+  // Runs the queue's periodic check while requests are queued.
   void ScheduleTick();
 
   event::EventLoop& loop_;
--- a/tests/platform_adapter/worker_gate_test.cc
+++ b/tests/platform_adapter/worker_gate_test.cc
@@ -15,6 +15,7 @@
 
 namespace {
 
+// Records how an attempt ended.
 class Outcome : public AttemptObserver {
  public:
   void OnAnswerHead(http::ResponseHead&& head) override { status = head.status; }
@@ -29,6 +30,7 @@
   std::optional<AttemptFailure> failure;
 };
 
+// Gives the same answer for every key, and counts the calls.
 class FakeKeyAuthority : public KeyAuthority {
  public:
   std::optional<bool> Sharded() const override { return sharded; }
@@ -80,8 +82,8 @@
   }
 };
 
-// A node that was restarted may know its worker before its configuration (record of inc2: each
-// request reached the worker five times and got 421).
+// A restarted node may know its worker before it has a configuration. In the recorded fault inc2,
+// each request then reached the worker five times and was answered 421.
 TEST(WorkerGate, WithoutAConfigurationRequestsWithKeysDoNotReachTheWorker) {
   authority.sharded = std::nullopt;
   Outcome refused;
@@ -90,7 +92,7 @@
   CHECK(refused.failure.has_value());
   CHECK(refused.failure->verdict == Verdict::kNotRun);
   CHECK(refused.failure->reason == FailureReason::kNoWorker);
-  // What has no key needs no configuration.
+  // A request without a key needs no configuration.
   Outcome served;
   AttemptRequest without_key = Request();
   without_key.key.reset();
@@ -109,7 +111,7 @@
   CHECK(RunUntil(loop, [&] { return held.size() == 2; }));
   outcomes[2].caller_gone = true;
   AnswerRun(held[0], 200);
-  // The slot goes to the one after it.
+  // The slot goes to the next queued request.
   CHECK(RunUntil(loop, [&] { return held.size() == 3; }));
   CHECK(outcomes[2].failure.has_value());
   CHECK(outcomes[2].failure->reason == FailureReason::kCallerGone);
@@ -150,7 +152,8 @@
   STRCMP_EQUAL("/9", held[2]->request().head.target.c_str());
 }
 
-// The load of a worker that refuses must show, or nothing is ever moved away from it.
+// Refused requests must count as load; otherwise an overloaded worker shows too little load and no
+// key is moved away from it.
 TEST(WorkerGate, RequestsThatAreRefusedCountAsLoadOfTheirKey) {
   worker.set_behaviour([this](const http::ExchangePtr& exchange) {
     held.push_back(exchange);
@@ -169,7 +172,7 @@
   CHECK_EQUAL(40, authority.offered);
 }
 
-TEST(WorkerGate, AKeyThatIsNotHeldIsRefusedAsNotRun) {
+TEST(WorkerGate, ARequestForAKeyThatIsNotHeldIsRefusedAsNotRun) {
   authority.owned = false;
   Outcome outcome;
   const auto attempt = gate->Submit(Request(), &outcome);
@@ -180,7 +183,7 @@
   CHECK_FALSE(outcome.failure->reached_worker);
 }
 
-TEST(WorkerGate, AKeyLostWhileWaitingIsNotSent) {
+TEST(WorkerGate, ARequestWhoseKeyIsLostWhileItWaitsIsNotSent) {
   Outcome outcomes[3];
   std::vector<std::unique_ptr<Attempt>> attempts;
   for (Outcome& outcome : outcomes) {
@@ -206,7 +209,7 @@
   CHECK(held.empty());
 }
 
-TEST(WorkerGate, AClosedGateRefusesWhatWaitsAndWhatComes) {
+TEST(WorkerGate, AClosedGateRefusesQueuedAndNewRequests) {
   Outcome outcomes[4];
   std::vector<std::unique_ptr<Attempt>> attempts;
   const auto submit = [&](Outcome* outcome) {
@@ -222,7 +225,7 @@
     CHECK(outcomes[index].failure->reason == FailureReason::kStopping);
     CHECK(outcomes[index].failure->verdict == Verdict::kNotRun);
   }
-  // What runs goes on.
+  // Requests that were sent are completed.
   for (const auto& exchange : held) AnswerRun(exchange, 200);
   CHECK(RunUntil(loop, [&] { return outcomes[0].complete && outcomes[1].complete; }));
   CHECK_EQUAL(2, held.size());
--- a/tests/sidecar/answer_pacer_test.cc
+++ b/tests/sidecar/answer_pacer_test.cc
@@ -14,6 +14,7 @@
 
 namespace {
 
+// An answer whose reader takes everything at once, or nothing while `reader_slow` is set.
 class Answer : public PacedAnswer {
  public:
   explicit Answer(size_t bytes) : waiting(bytes) {}
@@ -54,7 +55,7 @@
   pacer.Remove(&answer);
 }
 
-TEST(AnswerPacer, TheEarlierAnswerIsWrittenWholeFirst) {
+TEST(AnswerPacer, AnswersWithEqualDueTimeAreWrittenInOrderOfArrival) {
   Answer first(40000);
   Answer second(40000);
   pacer.Enqueue(&first);
@@ -64,7 +65,7 @@
   CHECK(RunUntil(loop, [&] { return second.waiting == 0; }));
 }
 
-TEST(AnswerPacer, TheAnswerThatIsWantedFirstIsWrittenFirst) {
+TEST(AnswerPacer, TheAnswerWithTheEarliestDueTimeIsWrittenFirst) {
   Answer later(40000);
   later.due = loop.Now() + std::chrono::seconds(2);
   Answer sooner(40000);
@@ -76,8 +77,8 @@
   CHECK(RunUntil(loop, [&] { return later.waiting == 0; }));
 }
 
-// 400 kB take half a second of the link, so that this one is late whatever is done.
-TEST(AnswerPacer, AnAnswerThatIsLateInAnyCaseYieldsToThoseInTime) {
+// At 0.8 MB/s, 400 kB take half a second, so the first answer misses its due time in any case.
+TEST(AnswerPacer, AnAnswerThatMissesItsDueTimeYieldsToOthers) {
   Answer late(400000);
   late.due = loop.Now() + std::chrono::milliseconds(200);
   Answer in_time(40000);
@@ -89,7 +90,7 @@
   CHECK(RunUntil(loop, [&] { return late.waiting == 0; }));
 }
 
-TEST(AnswerPacer, ASlowReaderDoesNotHoldOthersUp) {
+TEST(AnswerPacer, ASlowReaderDoesNotDelayOtherAnswers) {
   Answer slow(40000);
   slow.reader_slow = true;
   Answer other(40000);
@@ -102,7 +103,7 @@
   CHECK(RunUntil(loop, [&] { return slow.waiting == 0; }));
 }
 
-TEST(AnswerPacer, TheDelayCountsWhatWaitsAndWhatIsExpected) {
+TEST(AnswerPacer, ExpectedDelayCountsWaitingBytesAndExpectedAnswers) {
   CHECK(pacer.ExpectedDelay() == Duration(0));
   pacer.OnAnswerSize(80000);
   CHECK_EQUAL(100, ToMilliseconds(pacer.ExpectedDelay()));
@@ -116,7 +117,7 @@
   CHECK_EQUAL(100, ToMilliseconds(pacer.ExpectedDelay()));
 }
 
-TEST(AnswerPacer, WithoutABoundEverythingIsWrittenAtOnce) {
+TEST(AnswerPacer, WithUnlimitedBandwidthEverythingIsWrittenAtOnce) {
   AnswerPacer unbounded(loop, 0);
   Answer answer(10000000);
   unbounded.Enqueue(&answer);
--- a/tests/sidecar/remote_attempt_test.cc
+++ b/tests/sidecar/remote_attempt_test.cc
@@ -13,6 +13,7 @@
 
 namespace {
 
+// Records how an attempt ended.
 class Outcome : public AttemptObserver {
  public:
   void OnAnswerHead(http::ResponseHead&&) override {}
@@ -54,8 +55,9 @@
   }
 };
 
-// Kept connections to a node that ended break one by one: each would leave a request in doubt.
-TEST(RemoteAttempt, AfterABrokenConnectionNoOtherKeptOneIsUsed) {
+// Guards against reusing idle connections to a node that terminated. Each of them is broken, and
+// each request sent on one would end as possibly run.
+TEST(RemoteAttempt, AfterABrokenConnectionNoIdleOneIsReused) {
   Outcome first[2];
   const auto one = Send(&first[0]);
   const auto two = Send(&first[1]);
--- a/tests/sidecar/unresolved_attempts_test.cc
+++ b/tests/sidecar/unresolved_attempts_test.cc
@@ -1,6 +1,6 @@
-// The load that UnresolvedAttempts answers: a node is killed in the moment in which its worker
-// ends, so that some dozens of attempts of other nodes break off and nobody beside the worker tells
-// why.
+// Guards against a worker end that goes unreported: a node is killed at the moment when its worker
+// ends, some dozens of attempts of other nodes break off, and no node next to the worker is left to
+// report the end.
 #include "source/sidecar/unresolved_attempts.h"
 
 #include <CppUTest/TestHarness.h>
@@ -16,7 +16,7 @@
 
 const Instant kStart = Instant{} + seconds(100);
 
-// Identities are a name and, where it is known, an incarnation: "w@2".
+// An identity consists of a name and, if known, an incarnation: "w@2".
 std::string NameOf(const std::string& worker_id) {
   return worker_id.substr(0, worker_id.find('@'));
 }
@@ -41,7 +41,7 @@
   }
 };
 
-TEST(UnresolvedAttempts, AnotherIncarnationTellsThatTheFormerEnded) {
+TEST(UnresolvedAttempts, AnotherIncarnationShowsThatTheFormerEnded) {
   AddBrokenAttempt("w@1");
   attempts.OnWorkerAt(kStart + seconds(2), "n1", "w@2");
   const auto ended = attempts.TakeEnded(kStart + seconds(3));
@@ -50,21 +50,21 @@
   CHECK(attempts.empty());
 }
 
-TEST(UnresolvedAttempts, TheNodeBesideTheWorkerHasItsTimeToTell) {
+TEST(UnresolvedAttempts, EndsAreHeldBackUntilTheNodeHadTimeToReport) {
   AddBrokenAttempt("w@1");
   attempts.OnWorkerAt(kStart + seconds(2), "n1", "w@2");
   CHECK_EQUAL(0U, attempts.TakeEnded(kStart + milliseconds(2900)).size());
   CHECK(!attempts.empty());
 }
 
-TEST(UnresolvedAttempts, TheSameWorkerLivesOn) {
+TEST(UnresolvedAttempts, TheSameWorkerIsNotTakenAsEnded) {
   AddBrokenAttempt("w@1");
   attempts.OnWorkerAt(kStart + seconds(1), "n1", "w@1");
   CHECK_EQUAL(0U, attempts.TakeEnded(kStart + seconds(5)).size());
 }
 
-// A node that was started again finds its worker before it knows the incarnation.
-TEST(UnresolvedAttempts, AnIdentityThatIsKnownInPartTellsNothing) {
+// A restarted node finds its worker before it knows the worker's incarnation.
+TEST(UnresolvedAttempts, APartlyKnownIdentityIsNotTakenAsAnotherWorker) {
   AddBrokenAttempt("w@1");
   attempts.OnWorkerAt(kStart + seconds(1), "n1", "");
   attempts.OnWorkerAt(kStart + seconds(1), "n1", "w");
@@ -73,19 +73,19 @@
   CHECK_EQUAL(1U, attempts.TakeEnded(kStart + seconds(6)).size());
 }
 
-TEST(UnresolvedAttempts, WorkersBesideOtherNodesTellNothing) {
+TEST(UnresolvedAttempts, WorkersOfOtherNodesAreIgnored) {
   AddBrokenAttempt("w@1");
   attempts.OnWorkerAt(kStart + seconds(1), "n2", "w@2");
   CHECK_EQUAL(0U, attempts.TakeEnded(kStart + seconds(5)).size());
 }
 
-TEST(UnresolvedAttempts, WhatEndsMuchLaterHadOtherReasons) {
+TEST(UnresolvedAttempts, AttemptsAreDroppedAfterTheMaximumAge) {
   AddBrokenAttempt("w@1");
   CHECK_EQUAL(0U, attempts.TakeEnded(kStart + seconds(11)).size());
   CHECK(attempts.empty());
 }
 
-TEST(UnresolvedAttempts, AFloodIsBounded) {
+TEST(UnresolvedAttempts, TheNumberOfAttemptsIsBounded) {
   for (int index = 0; index < 10000; ++index) AddBrokenAttempt("w@1", milliseconds(index / 10));
   attempts.OnWorkerAt(kStart + seconds(2), "n1", "w@2");
   CHECK_COMPARE(attempts.TakeEnded(kStart + seconds(3)).size(), <=, 256U);
