--- a/source/sidecar/worker_gate.h
+++ b/source/sidecar/worker_gate.h
@@ -61,8 +61,8 @@
   WorkerGate(const WorkerGate&) = delete;
   WorkerGate& operator=(const WorkerGate&) = delete;
 
-  // Each of these is optional and must outlive the gate. Without a key authority, keys are not
-  // checked; without a quarantine, no request counts as a suspect.
+  // Each of these is optional and must stay valid while the gate is in use. Without a key
+  // authority, keys are not checked; without a quarantine, no request counts as a suspect.
   void set_key_authority(KeyAuthority* authority) { key_authority_ = authority; }
   void set_worker_observer(WorkerObserver* observer) { worker_observer_ = observer; }
 
