--- a/source/sidecar/ingress.h
+++ b/source/sidecar/ingress.h
@@ -12,9 +12,9 @@
 #include "runshelf/routing/retry_budget.h"
 #include "source/http/server.h"
 #include "source/routes/routing_configuration.h"
+#include "source/sidecar/deadline_estimator.h"
 #include "source/sidecar/log_writer.h"
 #include "source/sidecar/node_metrics.h"
-#include "source/sidecar/patience_meter.h"
 #include "source/sidecar/peer_directory.h"
 #include "source/sidecar/request_counts.h"
 #include "source/sidecar/request_quarantine.h"
@@ -71,15 +71,15 @@
   // Requests that were refused since the node stops.
   uint64_t refused_in_stop() const { return refused_in_stop_; }
   // Writes a line for each request under way: the process ends without its answer.
-  void LogCut() const;
+  void LogUnfinished() const;
 
  private:
   friend class RequestFlow;
-  void Forget(RequestFlow* flow);
+  void RemoveFlow(RequestFlow* flow);
   // A stopping node takes new requests until clients have learnt of the stop, and then only calls
   // of the worker's runs, which need them to end, while they are certainly over before the node
   // ends.
-  bool Takes(bool nested, Instant deadline) const;
+  bool Accepts(bool nested, Instant deadline) const;
   // This node cannot tell whether the request has a route.
   void RefuseUnconfigured(const http::ExchangePtr& exchange, const char* reason);
   void AnswerUnknownRoute(const http::ExchangePtr& exchange, const std::string& host,
@@ -96,20 +96,20 @@
     kAfterRefusal,  // The request certainly has not run.
     kRepeatedRun,
   };
-  ServiceBudgets& BudgetsOf(const std::string& service);
+  ServiceBudgets& RetryBudgetsFor(const std::string& service);
   void OnFirstAttempt(const std::string& service);
   // The caller has much less time than callers of the route usually have.
-  bool IsShortOfTime(const std::string& route, Duration deadline) {
-    return patience_[route].IsShort(deadline);
+  bool IsShortDeadline(const std::string& route, Duration deadline) {
+    return deadline_estimators_[route].IsShort(deadline);
   }
   // False: the request must not be sent to another worker.
-  bool TakeRetry(const std::string& service, RetryKind kind);
+  bool TryConsumeRetry(const std::string& service, RetryKind kind);
 
   IngressContext context_;
   std::shared_ptr<const routes::RoutingConfiguration> configuration_;
   std::function<bool()> configuration_is_behind_;
   std::map<std::string, ServiceBudgets> budgets_;
-  std::map<std::string, PatienceMeter> patience_;  // By route.
+  std::map<std::string, DeadlineEstimator> deadline_estimators_;  // By route.
   // Requests that run alone and are under way.
   uint64_t retries_ = 0;
   uint64_t refused_in_stop_ = 0;
