--- a/source/sidecar/shard_coordinator.cc
+++ b/source/sidecar/shard_coordinator.cc
@@ -10,7 +10,7 @@
 // Reports older than this are not used.
 constexpr Duration kReportLifetime = std::chrono::seconds(5);
 // After a conflict, before the planner waits for its next turn.
-constexpr int kTriesAtOnce = 6;
+constexpr int kMaxImmediateReplans = 6;
 constexpr Duration kReplanDelay = std::chrono::milliseconds(1);
 // Nodes that get the reports: the one that balances, and the one that would follow it.
 constexpr size_t kReportReceivers = 2;
@@ -49,7 +49,7 @@
   MeasureFormerGrants();
   if (shards_.busy()) return;
   Repair();
-  if (shards_.busy() || !shards_.OfPresentEra()) return;
+  if (shards_.busy() || !shards_.IsOfCurrentEra()) return;
   if (loop_.Now() - balanced_at_ < config_.balance_interval) return;
   balanced_at_ = loop_.Now();
   Balance();
@@ -62,7 +62,7 @@
                                       : config_.departure_wait;
   sharding::PlannerInput input;
   input.token_base = shards_.TokenBase();
-  input.former_grants_may_run = shards_.restored() || !config_.first_start;
+  input.former_grants_may_be_valid = shards_.restored() || !config_.first_start;
   for (const auto& [node, peer] : peers_.peers()) {
     if (peer.record.service != config_.service) continue;
     sharding::PlannerWorker worker;
@@ -130,7 +130,7 @@
 }
 
 void ShardCoordinator::Repair() {
-  if (!shards_.OfPresentEra()) {
+  if (!shards_.IsOfCurrentEra()) {
     CarryOver();
     return;
   }
@@ -163,7 +163,7 @@
 
 void ShardCoordinator::CarryOver() {
   const Instant since =
-      shards_.era_since() + (shards_.FromCopy() ? config_.carry_over_wait : Duration(0));
+      shards_.era_since() + (shards_.FromRestoredStore() ? config_.carry_over_wait : Duration(0));
   if (!shards_.MustBeCarriedOver() || !IsDue(since, loop_.Now())) return;
   const store::StoreEra former_era = shards_.era();
   const store::Revision former_revision = shards_.revision();
@@ -193,7 +193,7 @@
 
 void ShardCoordinator::Commit(const sharding::Plan& plan) {
   std::vector<store::Condition> absent;
-  for (const std::string& node : plan.relies_on_absence) {
+  for (const std::string& node : plan.nodes_assumed_absent) {
     absent.push_back({config_.node_key_prefix + node, 0});
   }
   const std::string reason = plan.reason;
@@ -215,7 +215,7 @@
 void ShardCoordinator::OnOutcome(ShardStore::Outcome outcome) {
   const bool conflict = outcome == ShardStore::Outcome::kConflict;
   conflicts_ = conflict ? conflicts_ + 1 : 0;
-  if (conflict && conflicts_ <= kTriesAtOnce && active_) timer_.Start(kReplanDelay);
+  if (conflict && conflicts_ <= kMaxImmediateReplans && active_) timer_.Start(kReplanDelay);
 }
 
 }  // namespace runshelf::sidecar
--- a/tests/platform_adapter/heartbeat_grants_test.cc
+++ b/tests/platform_adapter/heartbeat_grants_test.cc
@@ -89,7 +89,7 @@
   CHECK_EQUAL(199, lease.keys.front().last);
 }
 
-TEST(HeartbeatGrants, AMovingShardIsLetGoOnlyOnceALaterHeartbeatLacksIt) {
+TEST(HeartbeatGrants, AMovingShardIsReleasedOnlyOnceALaterHeartbeatOmitsIt) {
   HeldShard* held = Add(0, 99, 3);
   Lease(Next());
   const WorkerHeartbeat told = Next({{0, 99, 3}});
@@ -105,7 +105,7 @@
   STRCMP_EQUAL("h7", held->handover.c_str());
 }
 
-TEST(HeartbeatGrants, AnAnswerThatWasLostIsGivenAgain) {
+TEST(HeartbeatGrants, ALostAnswerIsRepeated) {
   HeldShard* held = Add(0, 99, 3);
   Lease(Next());
   CHECK_FALSE(grants.OnReport(Next(), &shards));
@@ -128,7 +128,7 @@
   CHECK_EQUAL(900, grants.highest_token_seen());
 }
 
-TEST(HeartbeatGrants, WhatAnotherWorkerReportsTouchesNothing) {
+TEST(HeartbeatGrants, ReportsOfAnotherWorkerChangeNothing) {
   HeldShard* held = Add(0, 99, 3);
   Lease(Next(), AlwaysMoves);
   WorkerHeartbeat other = Next();
@@ -139,7 +139,7 @@
 }
 
 // Rows that are not there yet wait; rows that the worker holds are never dropped for them.
-TEST(HeartbeatGrants, AnAnswerNeverExceedsItsBound) {
+TEST(HeartbeatGrants, AnAnswerNeverExceedsItsSizeLimit) {
   std::vector<HeldKeys> held_rows;
   for (uint32_t index = 0; index < 100; ++index) {
     Add(index * 100, index * 100 + 9, 1000 + index);
@@ -152,7 +152,7 @@
   const KeyLease lease = Lease(heartbeat);
   CHECK(wire.EncodeAcknowledgement(lease).size() <= wire.MaxAcknowledgementBytes());
   CHECK(lease.keys.size() > 100);
-  CHECK(grants.rows_left_out() > 0);
+  CHECK(grants.rows_omitted() > 0);
   for (const HeldKeys& row : held_rows) {
     CHECK(std::any_of(lease.keys.begin(), lease.keys.end(),
                       [&](const LeasedKeys& keys) { return keys.first == row.first; }));
@@ -204,5 +204,5 @@
     }
   }
   CHECK(largest <= wire.MaxAcknowledgementBytes());
-  CHECK_EQUAL(0, grants.rows_left_out());
+  CHECK_EQUAL(0, grants.rows_omitted());
 }
