--- a/source/store/store_client.cc
+++ b/source/store/store_client.cc
@@ -27,7 +27,7 @@
 
 void JoinWithEra(StoreEra era, Lease* lease) { lease->era = era; }
 
-// What the codec decoded, with the era in which the store said it.
+// Adds the era of the response to the decoded revisions.
 template <typename Result>
 absl::StatusOr<Result> InEra(StoreEra era, absl::StatusOr<Result> decoded) {
   if (decoded.ok()) JoinWithEra(era, &*decoded);
@@ -38,10 +38,10 @@
 constexpr int kServiceUnavailable = 503;
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(500);
 constexpr Duration kIdleTimeout = std::chrono::seconds(8);
-// Well below the time after which the answer to a short watch is missed.
+// Well below the timeout of a short watch.
 constexpr Duration kPromptAnswer = std::chrono::milliseconds(150);
 
-// The service did nothing and may serve others, or this process on another way.
+// The store did not execute the request, and may serve it on another path.
 bool IsRefusal(const http::Response& response) {
   return response.status == kTooManyRequests || response.status == kServiceUnavailable;
 }
@@ -55,7 +55,7 @@
   Instant sent_directly_at{};
   bool tried_direct = false;
   bool tried_relay = false;
-  bool may_be_done = false;  // Some way gave no answer.
+  bool may_have_executed = false;  // A path gave no response.
   std::optional<http::Response> refusal;
 };
 
@@ -79,18 +79,18 @@
       endpoint, http::SerializeRequest(head, request.body), options, timeout,
       [this, endpoint, callback = std::move(callback)](std::optional<http::Response> response) {
         if (response.has_value()) {
-          NoteEra(*response);
+          UpdateEra(*response);
         } else {
-          // Others that are open may have fallen silent with this one.
+          // Other open connections may have failed together with this one.
           pool_.CloseIdle(endpoint);
         }
         callback(std::move(response));
       });
 }
 
-void StoreClient::NoteEra(const http::Response& response) {
+void StoreClient::UpdateEra(const http::Response& response) {
   const std::optional<StoreEra> era = codec_.DecodeEra(response);
-  // An answer of an earlier era may have been held up.
+  // A response of an earlier era may arrive late.
   if (!era.has_value() || (era_.has_value() && *era <= *era_)) return;
   const std::optional<StoreEra> former = std::exchange(era_, era);
   era_since_ = loop_.Now();
@@ -112,13 +112,13 @@
   return transaction;
 }
 
-void StoreClient::PassOn(const http::Request& request, Duration timeout,
-                         std::function<void(std::optional<http::Response>)> callback) {
-  if (!direct_way_works()) {
+void StoreClient::ForwardForPeer(const http::Request& request, Duration timeout,
+                                 std::function<void(std::optional<http::Response>)> callback) {
+  if (!direct_path_works()) {
     callback(http::Response{kServiceUnavailable, {}, ""});
     return;
   }
-  ++counts_.passed_on;
+  ++counts_.forwarded_for_peers;
   Start(config_.endpoint, request, timeout, std::move(callback));
 }
 
@@ -128,17 +128,17 @@
   call->request = std::move(request);
   call->callback = std::move(callback);
   const bool avoid_direct = relay_ != nullptr && loop_.Now() < avoid_direct_until_;
-  Send(call, avoid_direct ? Way::kRelayed : Way::kDirect);
+  Send(call, avoid_direct ? Path::kRelayed : Path::kDirect);
 }
 
-void StoreClient::Send(const std::shared_ptr<PendingCall>& call, Way way) {
-  if (way == Way::kDirect) {
+void StoreClient::Send(const std::shared_ptr<PendingCall>& call, Path path) {
+  if (path == Path::kDirect) {
     call->tried_direct = true;
     call->sent_directly_at = loop_.Now();
     ++*call->count;
     Start(config_.endpoint, call->request, config_.call_timeout,
           [this, call](std::optional<http::Response> response) {
-            OnResponse(call, Way::kDirect, std::move(response));
+            OnResponse(call, Path::kDirect, std::move(response));
           });
     return;
   }
@@ -146,9 +146,9 @@
   const auto peer = relay_ == nullptr ? std::nullopt : relay_->ChoosePeer();
   if (!peer.has_value()) {
     if (!call->tried_direct) {
-      Send(call, Way::kDirect);
+      Send(call, Path::kDirect);
     } else {
-      Finish(call, call->refusal.has_value() && !call->may_be_done
+      Finish(call, call->refusal.has_value() && !call->may_have_executed
                        ? absl::StatusOr<http::Response>(*call->refusal)
                        : absl::UnknownError("no answer from the store"));
     }
@@ -158,14 +158,14 @@
   relay_->MarkForRelay(&marked);
   ++*call->count;
   Start(*peer, marked, config_.call_timeout, [this, call](std::optional<http::Response> response) {
-    OnResponse(call, Way::kRelayed, std::move(response));
+    OnResponse(call, Path::kRelayed, std::move(response));
   });
 }
 
-void StoreClient::OnResponse(const std::shared_ptr<PendingCall>& call, Way way,
+void StoreClient::OnResponse(const std::shared_ptr<PendingCall>& call, Path path,
                              std::optional<http::Response> response) {
   const bool answered = response.has_value() && !IsRefusal(*response);
-  if (way == Way::kDirect) {
+  if (path == Path::kDirect) {
     if (answered) {
       avoid_direct_until_ = Instant{};
       answered_call_sent_at_ = std::max(answered_call_sent_at_, call->sent_directly_at);
@@ -182,15 +182,15 @@
   if (response.has_value()) {
     call->refusal = std::move(response);
   } else {
-    call->may_be_done = true;
+    call->may_have_executed = true;
   }
   if (!call->tried_direct) {
-    Send(call, Way::kDirect);
+    Send(call, Path::kDirect);
   } else if (!call->tried_relay) {
-    Send(call, Way::kRelayed);
+    Send(call, Path::kRelayed);
   } else {
     SetReachable(false);
-    if (call->refusal.has_value() && !call->may_be_done) {
+    if (call->refusal.has_value() && !call->may_have_executed) {
       Finish(call, *call->refusal);
     } else {
       Finish(call, absl::UnknownError("no answer from the store"));
@@ -200,13 +200,13 @@
 
 void StoreClient::OnDirectFailed(const PendingCall& call) {
   const bool works = avoid_direct_until_ == Instant{};
-  // Only its connection had fallen silent when the store has answered a call made later.
+  // If the store has answered a call that was sent later, only this call's connection failed.
   const bool only_connection =
       !call.refusal.has_value() && answered_call_sent_at_ > call.sent_directly_at;
   if (!only_connection) avoid_direct_until_ = loop_.Now() + config_.avoid_direct;
-  const bool told_lately = loop_.Now() - direct_lost_at_ < config_.avoid_direct;
-  if (!works || (only_connection && told_lately)) return;
-  direct_lost_at_ = loop_.Now();
+  const bool reported_recently = loop_.Now() - direct_loss_reported_at_ < config_.avoid_direct;
+  if (!works || (only_connection && reported_recently)) return;
+  direct_loss_reported_at_ = loop_.Now();
   if (on_direct_lost_) on_direct_lost_();
 }
 
@@ -236,7 +236,8 @@
   return Watch(prefix, after, {config_.watch_wait, config_.call_timeout}, std::move(callback));
 }
 
-// A watch goes one way only: when it is cut the range is read again, which finds a way of its own.
+// A watch is sent on one path only: if it fails, the range is read again, and that call chooses its
+// own path.
 StoreClient::WatchId StoreClient::Watch(const std::string& prefix, Revision after,
                                         const WatchTimes& times,
                                         std::function<void(absl::StatusOr<WatchPage>)> callback) {
@@ -252,7 +253,7 @@
       [this, callback = std::move(callback)](const std::optional<http::Response>& response) {
         callback(response.has_value()
                      ? InEra(EraOfAnswer(*response), codec_.DecodeWatch(*response))
-                     : absl::StatusOr<WatchPage>(absl::UnknownError("the watch was cut")));
+                     : absl::StatusOr<WatchPage>(absl::UnknownError("no response to the watch")));
       });
 }
 
