--- a/tests/sidecar/crash_record_test.cc
+++ b/tests/sidecar/crash_record_test.cc
@@ -1,5 +1,5 @@
-// The load that CrashRecord answers: one request that comes about once a second, at any node, and
-// ends each worker that begins it, among hundreds of others that are at work in those workers.
+// Models a poison request that arrives about once a second at any node and terminates each worker
+// that starts it, among hundreds of unrelated requests in flight in those workers.
 #include "source/sidecar/crash_record.h"
 
 #include <CppUTest/TestHarness.h>
@@ -36,7 +36,7 @@
     record.OnWorkerEnd(Worker(worker), requests);
   }
 
-  // As the store takes the change.
+  // Applies the change as if the store had committed it.
   void Take(Instant now, const CrashRecord::Change& change) {
     record.OnQuarantine(now, poison, change.item, ++revision);
   }
@@ -44,7 +44,7 @@
   Clearance At(Instant now) const { return record.ClearanceOf(now, poison); }
 };
 
-TEST(CrashRecord, TheSecondEndPutsARequestInQuarantine) {
+TEST(CrashRecord, SecondTerminationQuarantinesRequest) {
   CHECK(At(kStart) == Clearance::kFree);
   End(1, {poison, Fingerprint("a")});
   CHECK(At(kStart) == Clearance::kFree);
@@ -55,21 +55,22 @@
   CHECK(record.ClearanceOf(kStart, Fingerprint("a")) == Clearance::kFree);
 }
 
-// Nodes hear of an end from the store, the one beside the worker before that.
-TEST(CrashRecord, AnEndThatIsToldTwiceCountsOnce) {
+// All nodes receive a termination from the store; the local node of the worker knows it before
+// that.
+TEST(CrashRecord, RepeatedReportCountsOnce) {
   for (int time = 0; time < 5; ++time) End(1, {poison});
   CHECK_EQUAL(1U, record.Ends(poison));
 }
 
-TEST(CrashRecord, WhatIsToldLaterOfAnEndIsAdded) {
+TEST(CrashRecord, LaterReportAddsRequests) {
   End(1, {Fingerprint("a")});
   End(1, {Fingerprint("a"), poison});
   CHECK_EQUAL(1U, record.Ends(poison));
   CHECK_EQUAL(2U, record.RequestsOf(Worker(1)).size());
 }
 
-// The poison one costs two workers and four trials, however often it comes.
-TEST(CrashRecord, ItReachesABoundedNumberOfWorkers) {
+// A poison request terminates two workers and gets four trials, however often it is sent.
+TEST(CrashRecord, TerminatesBoundedNumberOfWorkers) {
   size_t workers = 0;
   Instant now = kStart;
   for (int second = 0; second < 600; ++second, now += seconds(1)) {
@@ -82,8 +83,8 @@
   CHECK(!record.UntilTrial(now, poison).has_value());
 }
 
-// The node beside the worker was lost with it, each time from the third run on.
-TEST(CrashRecord, EndsThatNobodySeesCostNoFurtherRun) {
+// From the third run on the local node of the worker failed together with the worker.
+TEST(CrashRecord, UnobservedTerminationsAllowNoFurtherRun) {
   End(1, {poison});
   End(2, {poison});
   size_t runs = 2;
@@ -96,8 +97,8 @@
   CHECK_EQUAL(6U, runs);
 }
 
-// Two runs began before the first end was known everywhere.
-TEST(CrashRecord, ARunBesideTheOthersTakesThePlaceOfATrial) {
+// Two runs started before all nodes knew of the first termination.
+TEST(CrashRecord, ConcurrentRunReplacesTrial) {
   for (size_t worker = 1; worker <= 3; ++worker) End(worker, {poison});
   size_t workers = 3;
   Instant now = kStart;
@@ -109,9 +110,9 @@
   CHECK_EQUAL(6U, workers);
 }
 
-// Users count each run that the end of a worker cut. A request that was at work four times in the
-// first worker was run four times more, long after that.
-TEST(CrashRecord, RunsThatOneEndCutTakeThePlaceOfTrials) {
+// Users count each interrupted run. Guards against a request that had four runs in flight in the
+// first worker and still got four more runs long after that.
+TEST(CrashRecord, RunsInterruptedTogetherReplaceTrials) {
   const std::map<size_t, size_t> trials_by_runs{{1, 4}, {2, 3}, {3, 2}, {4, 2}};
   for (const auto& [runs, allowed] : trials_by_runs) {
     record = CrashRecord();
@@ -129,16 +130,16 @@
   }
 }
 
-// Other nodes write the end that they were told of.
-TEST(CrashRecord, TheRunsOfAnEndAreToldOn) {
+// Other nodes write the termination that was sent to them directly.
+TEST(CrashRecord, RepeatedRunsOfOneTerminationAreKept) {
   End(1, {poison, Fingerprint("a"), poison});
   End(1, {poison, poison, Fingerprint("a")});
   CHECK_EQUAL(3U, record.RequestsOf(Worker(1)).size());
   CHECK_EQUAL(1U, record.Ends(poison));
 }
 
-// However many workers a common loss of power ended under it.
-TEST(CrashRecord, ARequestUnderManyEndsAtOnceIsTried) {
+// A power failure may terminate any number of workers under a harmless request.
+TEST(CrashRecord, SimultaneousTerminationsLeaveATrial) {
   for (size_t worker = 1; worker <= 40; ++worker) End(worker, {poison});
   CHECK(At(kStart) == Clearance::kTrial);
   Take(kStart, record.BeginTrial(poison));
@@ -154,14 +155,14 @@
   CHECK(At(kStart + seconds(1)) == Clearance::kTrial);
 }
 
-TEST(CrashRecord, ATrialThatReachedNoWorkerIsGivenBack) {
+TEST(CrashRecord, TrialThatReachedNoWorkerDoesNotCount) {
   for (size_t worker = 1; worker <= 3; ++worker) End(worker, {poison});
   Take(kStart, record.BeginTrial(poison));
   Take(kStart, record.ReturnTrial(poison));
   CHECK_EQUAL(1U, record.BeginTrial(poison).item.trials);
 }
 
-TEST(CrashRecord, AGoodRunClearsARequest) {
+TEST(CrashRecord, CompletedRunClearsRequest) {
   End(1, {poison});
   End(2, {poison});
   record.OnGoodRun(poison);
@@ -172,15 +173,16 @@
   CHECK(At(kStart) == Clearance::kTrial);
 }
 
-// This node has not run it; the one that takes its requests has, since the first end.
-TEST(CrashRecord, GoodRunsAtAnotherNodeCount) {
+// This node has not seen the request complete, but the node that forwarded it has, after the first
+// termination.
+TEST(CrashRecord, CompletedRunsAtAnotherNodeCount) {
   End(1, {poison});
   CHECK_EQUAL(0U, record.Ends(poison, 1));
   End(2, {poison});
   CHECK(record.IsQuarantined(poison));
   CHECK(!record.IsQuarantined(poison, 1));
   CHECK_EQUAL(1U, record.Ends(poison, 1));
-  // Here it has run as well.
+  // The request now completes at this node too.
   record.OnGoodRun(poison);
   CHECK_EQUAL(2U, record.ExcusedEnds(poison));
   End(3, {poison});
@@ -188,7 +190,7 @@
   CHECK_EQUAL(1U, record.Ends(poison, 1));
 }
 
-TEST(CrashRecord, AReleaseIsKnownOnceTheStoreHasIt) {
+TEST(CrashRecord, ReleaseIsKnownOnceStored) {
   End(1, {poison});
   End(2, {poison});
   Take(kStart, record.BeginTrial(poison));
@@ -200,17 +202,17 @@
   CHECK(!record.ReleaseIsKnown(poison));
 }
 
-TEST(CrashRecord, OthersHearOfAGoodRunOnlyWhereItMatters) {
+TEST(CrashRecord, CompletedRunIsReportedOnlyIfOthersCountTerminations) {
   End(1, {poison});
   CHECK(!record.OnGoodRun(poison));
   End(2, {poison});
-  // They may hold both against it.
+  // Other nodes may count both terminations against it.
   CHECK(record.OnGoodRun(poison));
   Take(kStart, record.Release(poison));
   CHECK(!record.OnGoodRun(poison));
 }
 
-TEST(CrashRecord, AReleaseIsUnderstoodBeforeTheEndsThatItIsAbout) {
+TEST(CrashRecord, ReleaseMayArriveBeforeItsTerminations) {
   QuarantineItem item;
   item.released = true;
   item.worker_ids = {Worker(1), Worker(2), Worker(3)};
@@ -221,7 +223,7 @@
   CHECK_EQUAL(1U, record.Ends(poison));
 }
 
-TEST(CrashRecord, AfterAReleaseTrialsCountAnew) {
+TEST(CrashRecord, ReleaseResetsTrialCount) {
   for (size_t worker = 1; worker <= 3; ++worker) End(worker, {poison});
   Take(kStart, record.BeginTrial(poison));
   Take(kStart, record.Release(poison));
@@ -231,7 +233,7 @@
   CHECK_EQUAL(1U, record.BeginTrial(poison).item.trials);
 }
 
-TEST(CrashRecord, AnOlderItemChangesNothing) {
+TEST(CrashRecord, OlderItemIsIgnored) {
   for (size_t worker = 1; worker <= 3; ++worker) End(worker, {poison});
   const CrashRecord::Change first = record.BeginTrial(poison);
   record.OnQuarantine(kStart, poison, first.item, 20);
@@ -242,8 +244,9 @@
   CHECK_EQUAL(3U, record.BeginTrial(poison).item.trials);
 }
 
-// Once it has lapsed one run, not three, tells whether the request still ends its worker.
-TEST(CrashRecord, AfterALapseOneEndIsEnough) {
+// After the quarantine expired a single run, not three, tells whether the request still terminates
+// its worker.
+TEST(CrashRecord, OneTerminationSufficesAfterQuarantineExpired) {
   for (size_t worker = 1; worker <= 3; ++worker) End(worker, {poison});
   Take(kStart, record.BeginTrial(poison));
   record.OnQuarantineLapsed(poison);
@@ -255,14 +258,14 @@
   CHECK(At(kStart) == Clearance::kFree);
 }
 
-TEST(CrashRecord, WhatLapsedIsForgotten) {
+TEST(CrashRecord, ExpiredTerminationIsRemoved) {
   End(1, {poison, Fingerprint("a")});
   record.OnWorkerEndLapsed(Worker(1));
   CHECK(record.empty());
 }
 
-// A common loss of power ends hundreds of workers, with some twenty requests in each.
-TEST(CrashRecord, AFloodOfBystandersDoesNotPushTheGuiltyOneOut) {
+// A power failure terminates hundreds of workers with about twenty requests each.
+TEST(CrashRecord, UnrelatedRequestsDoNotEvictPoisonRequest) {
   End(1, {poison});
   End(2, {poison});
   for (size_t worker = 100; worker < 1700; ++worker) {
@@ -277,9 +280,9 @@
   CHECK(At(kStart) == Clearance::kTrial);
 }
 
-// Guards against a request that ended workers before, which nobody remembers: with the usual number
-// of runs it has more after the proof than users allow.
-TEST(CrashRecord, WhereEndsMayBeForgottenARequestHasThreeRuns) {
+// Guards against a request whose earlier terminations are missing from the store: with the usual
+// limit it would get more runs after the proof than users accept.
+TEST(CrashRecord, IncompleteHistoryLimitsRequestToThreeRuns) {
   record.SetHistoryMayBeIncomplete(true);
   size_t runs = 1;
   End(runs, {poison});
@@ -293,15 +296,15 @@
   CHECK_FALSE(record.UntilTrial(now, poison).has_value());
 }
 
-// Guards against runs beside each other that are not counted where ends may be forgotten.
-TEST(CrashRecord, WhereEndsMayBeForgottenEachRunThatAnEndCutsCounts) {
+// Guards against concurrent runs that are not counted while the history may be incomplete.
+TEST(CrashRecord, IncompleteHistoryCountsEachInterruptedRun) {
   record.SetHistoryMayBeIncomplete(true);
   End(1, {poison, poison, poison});
   CHECK(At(kStart) == Clearance::kQuarantined);
 }
 
-// Guards against innocent requests that stay refused after the fleet was strict.
-TEST(CrashRecord, AGoodRunClearsARequestWhereEndsMayBeForgotten) {
+// Guards against harmless requests that stay refused after the stricter rules applied.
+TEST(CrashRecord, IncompleteHistoryCompletedRunClearsRequest) {
   record.SetHistoryMayBeIncomplete(true);
   End(1, {poison});
   CHECK(At(kStart) == Clearance::kTrial);
@@ -309,7 +312,7 @@
   CHECK(At(kStart) == Clearance::kFree);
 }
 
-TEST(CrashRecord, OnceNothingIsForgottenTheUsualEndsAndTrialsHold) {
+TEST(CrashRecord, CompleteHistoryRestoresUsualLimits) {
   record.SetHistoryMayBeIncomplete(true);
   End(1, {poison});
   record.SetHistoryMayBeIncomplete(false);
