--- a/tests/platform_adapter/fake_store.cc
+++ b/tests/platform_adapter/fake_store.cc
@@ -28,7 +28,7 @@
 
 struct FakeStore::Copy {
   std::map<std::string, Entry> entries;
-  std::map<int64_t, int64_t> leases;  // Times to live in milliseconds, by id.
+  std::map<int64_t, int64_t> leases;  // TTL in milliseconds by lease id.
   int64_t revision = 0;
   int64_t next_lease = 0;
 };
@@ -247,7 +247,7 @@
   const std::string& target = exchange->request().head.target;
   const std::string prefix = QueryValue(target, "path_prefix");
   const std::string after = QueryValue(target, "after");
-  constexpr size_t kPage = 3;  // Small, so that tests see several pages.
+  constexpr size_t kPage = 3;  // Small, so that tests cover paginated range reads.
   json items = json::array();
   bool more = false;
   for (const auto& [key, entry] : entries_) {
--- a/tests/platform_adapter/fake_store.h
+++ b/tests/platform_adapter/fake_store.h
@@ -1,4 +1,5 @@
-// The platform's store for tests, on the test's own event loop, with the faults of the real one.
+// Test double of the platform's key-value store, with injectable faults. Runs on the test's event
+// loop.
 #pragma once
 
 #include <cstdint>
@@ -15,71 +16,74 @@
 
 namespace runshelf::platform_adapter {
 
+// An in-memory key-value store with revisions, transactions, watches and leases behind the
+// platform's HTTP interface.
 class FakeStore {
  public:
   explicit FakeStore(event::EventLoop& loop);
 
   event::Endpoint endpoint() const { return {"127.0.0.1", server_.bound_port()}; }
-  // A further address of the same store, for a caller that is to be told apart; returns its number.
+  // Opens an additional listening address of the same store, so that faults can be injected for the
+  // clients of that address only. Returns its number.
   size_t AddEntrance();
   event::Endpoint entrance(size_t number) const;
 
-  // What the operator does; never fails.
+  // Reads and writes as the operator does; not subject to injected faults.
   void Put(const std::string& key, const std::string& value);
   void Remove(const std::string& key);
   const std::string* Find(const std::string& key) const;
 
   enum class Fault {
     kNone,
-    kRefuse,      // 503 to everything.
-    kThrottle,    // 429 to everything.
-    kReset,       // The connection ends without an answer.
-    kSilent,      // No answer to anything.
-    kLoseWrites,  // Writes are done and not answered.
-    kHoldWrites,  // Transactions are not answered, and not done before CarryOutHeld().
-    kLateWrites,  // Some writes are done and not answered, others are done late, see set_lateness.
+    kRefuse,      // Responds 503 to every request.
+    kThrottle,    // Responds 429 to every request.
+    kReset,       // Closes the connection without a response.
+    kSilent,      // Never responds.
+    kLoseWrites,  // Writes are applied but get no response.
+    kHoldWrites,  // Transactions get no response and are applied by CarryOutHeld().
+    kLateWrites,  // Writes get no response; some are applied late, see set_lateness.
   };
   void set_fault(Fault fault) { fault_ = fault; }
-  // Hits the callers of one entrance only; the fault of the whole store goes before it.
+  // Affects only the clients of one entrance; a fault of the whole store takes precedence.
   void set_entrance_fault(size_t number, Fault fault) { entrances_[number].fault = fault; }
-  // Under kLateWrites: how long after its arrival a transaction is tried; zero: at once.
+  // Under kLateWrites: delay between a transaction's arrival and its execution; zero: none.
   void set_lateness(std::function<Duration()> lateness) { lateness_ = std::move(lateness); }
-  // Time between what a call does and its answer; none when not set.
+  // Delay between the execution of a request and its response; none when unset.
   void set_latency(std::function<Duration()> latency) { latency_ = std::move(latency); }
-  // While true no lease runs out; afterwards each has as long as it had left.
+  // While true, lease expiry is suspended; afterwards each lease resumes with its remaining time.
   void SetLeasesWait(bool wait);
-  // Applies to calls that this predicate picks only; all, when empty.
+  // Restricts the fault to requests that match the predicate; all requests when empty.
   void set_fault_filter(std::function<bool(const http::Request&)> filter) {
     fault_filter_ = std::move(filter);
   }
-  // Does the transactions that were held, those whose conditions still hold, without an answer.
+  // Executes the held transactions whose conditions still hold; they get no response.
   void CarryOutHeld();
   size_t held() const { return held_.size(); }
-  // Forgets the history and cuts all watches, as after a silence.
+  // Compacts the change history and closes all watches, as after a long outage.
   void CompactAndCutWatches();
-  // While silent, watches hear nothing of changes.
+  // While true, watches stay open but deliver no changes.
   void set_watches_silent(bool silent) { watches_silent_ = silent; }
-  // Ends every lease now.
+  // Expires every lease immediately.
   void LapseLeases();
 
-  // What the store holds at one moment.
+  // Snapshot of the store's contents.
   struct Copy;
   std::shared_ptr<const Copy> TakeCopy() const;
-  // Comes back from a copy that was taken earlier: what nodes wrote since then is gone, leases too,
-  // and revisions and lease ids are given out again. What the operator wrote is written again.
+  // Restores the store from an earlier snapshot: later writes of nodes and later leases are lost,
+  // and revisions and lease ids are assigned again. The operator's items are written again.
   void Restore(const Copy& copy);
 
-  // What is read of a key is changed by this filter, from the value as it was written. Lets a test
-  // put itself between nodes that find each other through the store.
+  // Transforms the values that clients read. Lets a test rewrite node records, for instance to put
+  // a proxy between nodes that discover each other through the store.
   using ValueFilter = std::function<std::string(const std::string& key, const std::string& value)>;
   void set_value_filter(ValueFilter filter) { value_filter_ = std::move(filter); }
 
-  // Calls received, by path.
+  // Number of requests received for the path.
   uint64_t calls(const std::string& path) const;
 
  private:
   struct Entry {
-    std::string value;  // In base64.
+    std::string value;  // Base64-encoded.
     int64_t revision = 0;
     int64_t made = 0;
     int64_t lease = 0;
@@ -88,13 +92,13 @@
     std::unique_ptr<event::Timer> timer;
     int64_t time_to_live_ms = 0;
     Instant ends{};
-    Duration left{};  // Of one that waits.
+    Duration left{};  // Remaining time while expiry is suspended.
   };
   struct Entrance {
     std::unique_ptr<http::Server> server;
     Fault fault = Fault::kNone;
   };
-  // What became of a transaction, as the answer to it says.
+  // HTTP status and body of the response to a transaction.
   struct Verdict {
     int status = 0;
     nlohmann::json body;
@@ -139,7 +143,7 @@
   std::vector<Change> history_;
   std::map<std::string, uint64_t> calls_;
   std::vector<http::ExchangePtr> unanswered_;
-  std::vector<http::ExchangePtr> held_;  // Transactions.
+  std::vector<http::ExchangePtr> held_;  // Transactions under kHoldWrites.
   std::vector<Entrance> entrances_;
   std::vector<std::unique_ptr<event::Timer>> later_;
   std::function<Duration()> lateness_;
--- a/tests/platform_adapter/fake_worker.cc
+++ b/tests/platform_adapter/fake_worker.cc
@@ -10,16 +10,16 @@
 
 using nlohmann::json;
 
-// An answer to a heartbeat that comes later is not taken.
+// Timeout of a heartbeat; a later response is ignored.
 constexpr Duration kAnswerWindow = std::chrono::seconds(1);
-// How often the worker looks whether the requests on keys that it lets go have ended.
+// Interval at which the worker checks whether the requests on keys being released have finished.
 constexpr Duration kLetGoPoll = std::chrono::milliseconds(5);
 
 bool Overlaps(const FakeWorker::Grant& grant, uint32_t first, uint32_t last) {
   return grant.first <= last && first <= grant.last;
 }
 
-// The parts of a grant that none of `kept` covers.
+// Returns the subranges of a grant that no grant in `kept` covers.
 std::vector<FakeWorker::Grant> Without(const FakeWorker::Grant& grant,
                                        const std::vector<FakeWorker::Grant>& kept) {
   std::vector<FakeWorker::Grant> parts{grant};
@@ -90,13 +90,13 @@
   const Instant made = loop_.Now();
   if (fault == HeartbeatFault::kNotSent) return;
   if (fault != HeartbeatFault::kSentLate) return CallNode(body, made, fault);
-  // One heartbeat at a time: the next one waits for this one's answer.
+  // At most one heartbeat is in flight: the next one waits for the response to this one.
   heartbeat_timer_.Start(kAnswerWindow);
   send_late_ = [this, body, made, fault] { CallNode(body, made, fault); };
   late_heartbeat_.Start(kAnswerWindow * 9 / 10);
 }
 
-// Again with each heartbeat that would be due, until it is acknowledged.
+// Retried at each heartbeat interval until acknowledged.
 void FakeWorker::Deregister() {
   if (leaving_acknowledged_at_.has_value()) return;
   http::RequestHead head;
@@ -138,7 +138,7 @@
   return body.dump();
 }
 
-// Sends a heartbeat that was made at `made`; its answer counts only within the window.
+// Sends a heartbeat that was created at `made`; a response after kAnswerWindow is ignored.
 void FakeWorker::CallNode(const std::string& body, Instant made, HeartbeatFault fault) {
   http::RequestHead head;
   head.method = "POST";
@@ -161,13 +161,13 @@
         released_.erase(released_.begin(), released_.begin() + static_cast<long>(released));
         if (keys_in_heartbeats_) OnLease(response->body, made);
         if (fault != HeartbeatFault::kSentTwice) return;
-        // The answer to the second one is heard by nobody.
+        // The response to the duplicate is ignored.
         send_late_ = [this, body, made] { CallNode(body, made, HeartbeatFault::kAnswerLost); };
         late_heartbeat_.Start(Duration(1000));
       });
 }
 
-// The answer to a heartbeat that was sent at `sent` lists all keys that the worker is to hold.
+// Handles the response to a heartbeat sent at `sent`, which lists all keys the worker is to hold.
 void FakeWorker::OnLease(const std::string& body, Instant sent) {
   const json answer = json::parse(body);
   if (!answer.contains("holds") || body.size() > 4096) return;
@@ -176,7 +176,7 @@
   for (const json& row : answer["holds"]) {
     Grant grant{row[0], row[1], row[2], {}, row[3]};
     grant.until = sent + std::chrono::milliseconds(answer["hold_ms"].get<int64_t>());
-    // The handover stays known where the answer does not repeat it.
+    // Keeps the known handover when the response omits it.
     for (const Grant& old : before) {
       if (grant.handover.empty() && old.fence == grant.fence &&
           Overlaps(old, grant.first, grant.last))
@@ -198,14 +198,15 @@
     return true;
   });
   AnswerReleases();
-  // At most a tenth of a second later the node is told.
+  // Reports the released keys to the node within a tenth of a second.
   if (released_.size() > told) {
     heartbeat_timer_.Start(std::min<Duration>(interval_, std::chrono::milliseconds(50)));
   }
   if (!ending_.empty() || !open_releases_.empty()) let_go_timer_.Start(kLetGoPoll);
 }
 
-// An answer may bring the next order on its connection at once, which looks at the releases too.
+// Reentrant: sending a response may synchronously deliver the next grant or release on the same
+// connection, whose handling calls this function again.
 void FakeWorker::AnswerReleases() {
   const auto over = std::stable_partition(
       open_releases_.begin(), open_releases_.end(),
@@ -221,7 +222,7 @@
   }
 }
 
-// False: a higher fence was seen on one of the keys.
+// Returns false when a higher fencing token has been seen for one of the keys.
 bool FakeWorker::TakeRow(const Grant& grant) {
   for (const Grant& seen : fences_seen_) {
     if (Overlaps(seen, grant.first, grant.last) && seen.fence > grant.fence) {
--- a/tests/platform_adapter/fake_worker.h
+++ b/tests/platform_adapter/fake_worker.h
@@ -1,4 +1,5 @@
-// A worker of the platform for tests: runs requests, holds keys under fences, drains.
+// Test double of a platform worker: executes requests, accepts grants and releases of shard keys
+// with fencing tokens, sends heartbeats and drains.
 #pragma once
 
 #include <cstdint>
@@ -16,62 +17,66 @@
 
 namespace runshelf::platform_adapter {
 
-// Headers of the answer to a request that ran: its id, and a stamp.
+// Headers of the response to an executed request: the request's Attempt-Id and a Server-Stamp.
 http::Headers RunHeaders(const http::ExchangePtr& exchange, const std::string& stamp = "stamp");
-// Answers a request that ran.
+// Responds to an executed request with those headers.
 void AnswerRun(const http::ExchangePtr& exchange, int status, const std::string& body = "",
                const std::string& stamp = "stamp");
 
+// An HTTP server on the loopback interface that plays the worker of one node. Not thread-safe: runs
+// on the given event loop.
 class FakeWorker {
  public:
   FakeWorker(event::EventLoop& loop, std::string id, std::string service);
 
-  // Listens; port 0 lets the system choose. Returns zero, or a negative libuv error code.
+  // Starts listening; port 0 picks a free port. Returns zero, or a negative libuv error code.
   int Listen(uint16_t port = 0);
-  // New connections are refused from here on; those that are open are served.
+  // Refuses new connections; open ones are still served.
   void StopListening() { server_.StopListening(); }
   event::Endpoint endpoint() const { return {"127.0.0.1", server_.bound_port()}; }
   const std::string& id() const { return id_; }
-  // When this life of the worker began, in milliseconds since 1970: it says so in all that it tells
-  // of itself. Zero: it does not.
+  // Start time of this worker process in milliseconds since the Unix epoch, which the worker
+  // reports in heartbeats and deregistrations. Zero: not reported.
   void set_born(int64_t born) { born_ = born; }
-  // Names this life: others may have the same identity.
+  // Identifies this worker process, by id and start time: a restarted worker may have the same id.
   std::string life() const { return born_ == 0 ? id_ : id_ + "@" + std::to_string(born_); }
 
-  // Sends heartbeats to the node beside it until the worker is destroyed.
+  // Sends heartbeats to the given node until the worker is destroyed.
   void StartHeartbeats(const event::Endpoint& node, Duration interval);
   void set_draining(bool draining) { draining_ = draining; }
-  // A draining worker deregisters at once, says nothing more, and serves on.
+  // When draining, the worker deregisters at once and stops its heartbeats, but still serves
+  // requests.
   void set_leaves_without_draining(bool value) { leaves_without_draining_ = value; }
-  // Requests that it runs at once, as heartbeats tell.
+  // Maximum number of concurrent requests, as reported in heartbeats.
   void set_slots(int slots) { slots_ = slots; }
-  // The worker reports its keys in heartbeats, and holds what the answers list.
+  // The worker reports its keys in heartbeats and holds those listed in the responses.
   void set_keys_in_heartbeats(bool keys_in_heartbeats) { keys_in_heartbeats_ = keys_in_heartbeats; }
-  // Heartbeats are cut off from the node; the worker serves on.
+  // No heartbeats are sent; the worker still serves requests.
   void set_heartbeats_cut(bool cut) { heartbeats_cut_ = cut; }
-  // Health checks get no answer; everything else is served.
+  // Health checks get no response; all other requests are served.
   void set_health_silent(bool silent) { health_silent_ = silent; }
-  // What happens to a heartbeat on its way.
+  // Fault injected into the delivery of a heartbeat.
   enum class HeartbeatFault {
     kNone,
     kNotSent,
-    kSentTwice,   // The second time after its answer.
-    kSentLate,    // By most of the time that its answer may take.
-    kAnswerLost,  // The node answers, and the worker does not hear it.
-    kHeldBack,    // Arrives some time later, after newer ones; see set_on_held_back.
+    kSentTwice,   // Sent again after its response has arrived.
+    kSentLate,    // Delayed by 90 % of the response timeout.
+    kAnswerLost,  // The node responds, but the worker ignores the response.
+    kHeldBack,    // Delivered later, out of order; see set_on_held_back.
   };
   void set_heartbeat_faults(std::function<HeartbeatFault()> next) {
     next_heartbeat_fault_ = std::move(next);
   }
-  // Takes the requests that are held back, which may outlive this worker; nobody hears the answers.
+  // Receives the serialized heartbeats that are held back. The receiver delivers them, possibly
+  // after this worker's destruction; their responses are ignored.
   using HeldBackCallback = std::function<void(const event::Endpoint& node, std::string request)>;
   void set_on_held_back(HeldBackCallback callback) { on_held_back_ = std::move(callback); }
   // Sequence number of the latest heartbeat.
   int64_t sequence() const { return sequence_; }
-  // Status of the latest answer to a heartbeat; zero before the first.
+  // HTTP status of the latest heartbeat response; zero before the first one.
   int heartbeat_status() const { return heartbeat_status_; }
 
-  // What to do with a request instead of answering 200 with the id and the body.
+  // Replaces the default request handler, which responds 200 with the worker id and the body.
   using Behaviour = std::function<void(const http::ExchangePtr&)>;
   void set_behaviour(Behaviour behaviour) { behaviour_ = std::move(behaviour); }
   struct Grant {
@@ -81,31 +86,33 @@
     Instant until{};
     std::string handover;
   };
-  // Called for each order of keys that was accepted; `late`: some time after its arrival.
+  // Called for each accepted grant; `late` is true when it was processed with a delay (see
+  // OrderFault::lateness).
   using GrantCallback = std::function<void(const Grant& grant, bool late)>;
   void set_on_granted(GrantCallback callback) { on_granted_ = std::move(callback); }
-  // Called for each release that is answered.
+  // Called for each release that is acknowledged.
   using ReleaseCallback = std::function<void(uint32_t first, uint32_t last)>;
   void set_on_released(ReleaseCallback callback) { on_released_ = std::move(callback); }
-  // What happens to a grant or a release that arrives.
+  // Fault injected into the processing of a grant or release request.
   struct OrderFault {
-    bool answered = true;
-    Duration lateness{0};  // It is carried out so much later; zero: at once.
-    bool cut = false;      // Its connection is closed at once; it is not carried out.
+    bool answered = true;  // Whether a response is sent.
+    Duration lateness{0};  // Delay before the request is processed.
+    bool cut = false;      // The connection is closed and the request is not processed.
   };
   void set_order_faults(std::function<OrderFault()> next) { next_order_fault_ = std::move(next); }
-  // Tells whether requests run on keys of a range; a release is answered, and keys that heartbeats
-  // take away count as let go, only when none does. None ever does when this is not set.
+  // Returns whether requests are running on any key of the range. A release is acknowledged, and
+  // keys that a heartbeat response no longer lists are reported as released, only once none is
+  // running. When unset, no key is ever busy.
   using BusyPredicate = std::function<bool(uint32_t first, uint32_t last)>;
   void set_busy_keys(BusyPredicate busy) { busy_ = std::move(busy); }
-  // How long a health check waits for its answer.
+  // Delay of each health check response.
   void set_health_delay(std::function<Duration()> delay) { health_delay_ = std::move(delay); }
-  // When the node acknowledged that the worker leaves; nullopt: not yet.
+  // When the node acknowledged the deregistration; nullopt before that.
   std::optional<Instant> leaving_acknowledged_at() const { return leaving_acknowledged_at_; }
-  // The worker's keys count: requests for others are refused.
+  // A sharded worker refuses requests for keys that it does not hold.
   void set_sharded(bool sharded) { sharded_ = sharded; }
 
-  // The grant in force for a key; nullptr when there is none.
+  // The unexpired grant that covers the key; nullptr when there is none.
   const Grant* Holds(uint32_t key) const;
   const std::vector<Grant>& grants() const { return grants_; }
   const std::vector<http::Request>& executed() const { return executed_; }
@@ -113,14 +120,14 @@
 
  private:
   void Handle(const http::ExchangePtr& exchange);
-  // Carries an order out now or later, and answers it or not.
+  // Processes a grant or release, subject to the injected fault.
   void HandleOrder(const http::ExchangePtr& exchange);
   void CarryOut(const http::ExchangePtr& exchange, bool answered, bool late);
-  // Returns the status of the answer.
+  // Returns the HTTP status of the response.
   int TakeGrant(const nlohmann::json& body, bool late);
   void TakeRelease(const nlohmann::json& body);
   bool Busy(uint32_t first, uint32_t last) const { return busy_ && busy_(first, last); }
-  // Looks at what waits for running requests to end.
+  // Completes releases of keys on which no request runs any more.
   void FinishLetGo();
   void AnswerReleases();
   void DoLater(Duration delay, std::function<void()> action);
@@ -152,14 +159,14 @@
   std::vector<std::unique_ptr<event::Timer>> later_;
   std::optional<Instant> leaving_acknowledged_at_;
   std::vector<Grant> grants_;
-  std::vector<Grant> fences_seen_;  // Of all grants and releases.
+  std::vector<Grant> fences_seen_;  // Fencing tokens of all grants and releases received.
   std::vector<http::Request> executed_;
   uint64_t refused_orders_ = 0;
   int64_t sequence_ = 0;
   int heartbeat_status_ = 0;
-  std::vector<Grant> ending_;    // Taken away by heartbeats; requests still run on them.
-  std::vector<Grant> released_;  // Since the last heartbeat that was acknowledged.
-  // Releases whose answer waits for running requests.
+  std::vector<Grant> ending_;    // Revoked by a heartbeat response, with requests still running.
+  std::vector<Grant> released_;  // Since the last acknowledged heartbeat.
+  // A release whose response waits for running requests.
   struct OpenRelease {
     http::ExchangePtr exchange;
     uint32_t first = 0;
--- a/tests/platform_adapter/fleet.cc
+++ b/tests/platform_adapter/fleet.cc
@@ -12,14 +12,16 @@
 
 constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(100);
 
-// An address of the loopback range for each node, so that all use the same ports for datagrams.
-// Each test process has its own, so that none takes a port that another one chose and not yet uses.
+// Returns a separate loopback address for each node, so that all nodes can use the same UDP ports.
+// Addresses also differ between test processes: otherwise one could bind a port that another has
+// chosen but not bound yet.
 std::string NodeIp(size_t index) {
   const auto process = static_cast<unsigned>(getpid());
   return fmt::format("127.{}.{}.{}", 1 + process / 256 % 254, process % 256, 10 + index);
 }
 
-// Below the ephemeral range, and another pair for each test process that runs at the same time.
+// First of a pair of UDP ports below the ephemeral range; concurrent test processes use different
+// pairs.
 uint16_t PeerPort() { return static_cast<uint16_t>(20000 + 2 * (getpid() % 5000)); }
 
 }  // namespace
@@ -61,8 +63,8 @@
 void Fleet::StartNode(Node* node) {
   node->sidecar =
       std::make_unique<sidecar::Sidecar>(loop, node->settings, wire_, codec_, random_, log_);
-  // The address of a process that was just killed may take a moment.
-  // Once it is started, it is not started again.
+  // Retried until it succeeds: the address of a sidecar that was just terminated may still be in
+  // use for a moment.
   bool started = false;
   event::RunUntil(loop, [&] {
     if (!started) started = node->sidecar->Start().ok();
--- a/tests/platform_adapter/fleet.h
+++ b/tests/platform_adapter/fleet.h
@@ -1,4 +1,5 @@
-// A few sidecars with their workers and one store, all on the test's event loop.
+// Test fixture: several sidecars with their fake workers and one fake store, all on the test's
+// event loop.
 #pragma once
 
 #include <cstdio>
@@ -21,6 +22,7 @@
 
 namespace runshelf::platform_adapter {
 
+// A group of nodes, each a sidecar and its worker, that share one store.
 class Fleet {
  public:
   struct Node {
@@ -29,23 +31,25 @@
     std::unique_ptr<sidecar::Sidecar> sidecar;
   };
 
-  // One node for each name of `services`; "keyed" is divided by key.
+  // Creates one node per element of `services`, which names the worker's service. The service
+  // "keyed" is sharded by key.
   explicit Fleet(const std::vector<std::string>& services,
                  routes::GrantDelivery grant_delivery = routes::GrantDelivery::kCalls);
   ~Fleet();
 
-  // All workers tell when they were born: at `born`. To be called before the start.
+  // Sets the process start time that all workers report, see FakeWorker::set_born. Must be called
+  // before Launch() or Start().
   void SetBorn(int64_t born);
-  // Starts all nodes and waits for nothing but their listening.
+  // Starts all nodes and returns once they listen.
   void Launch();
-  // Starts all nodes and waits until they are ready and every service is served; fails the test
-  // when they are not.
+  // Starts all nodes and waits until they are ready, know all workers and, in a sharded service,
+  // every key is held. Fails the test after 8 s.
   void Start();
-  // A node process ends without a word; its worker lives on.
+  // Terminates a sidecar without a graceful stop; its worker keeps running.
   void Kill(size_t node);
-  // A node process starts again beside the same worker.
+  // Restarts a sidecar with the same worker.
   void Restart(size_t node);
-  // The worker beside a node ends, and the next one starts at its address `down` later. `born`: see
+  // Destroys a node's worker and starts a new one at the same address after `down`. For `born` see
   // FakeWorker::set_born.
   void ReplaceWorker(size_t node, const std::string& id, int64_t born = 0,
                      Duration down = std::chrono::milliseconds(5));
@@ -55,39 +59,45 @@
     std::string body;
     http::Headers headers;
   };
-  // Sends a request to the node's outbound address; nullopt when no answer came in time.
+  // Sends a request to the node's outbound address and waits for the response; nullopt when none
+  // arrived within `limit`.
   std::optional<Answer> Request(size_t node, const std::string& method, const std::string& target,
                                 const std::string& body, const http::Headers& headers = {},
                                 Duration limit = std::chrono::seconds(3));
-  // A request that has not been waited for. Destroying it closes its connection.
+  // A request in flight. Its destruction closes the connection.
   struct PendingRequest {
     bool over = false;
     std::optional<Answer> answer;
     std::unique_ptr<http::SimpleCall> call;
   };
+  // Sends a request to the node's outbound address and returns at once.
   std::unique_ptr<PendingRequest> Begin(size_t node, const std::string& method,
                                         const std::string& target, const std::string& body,
                                         const http::Headers& headers = {},
                                         Duration limit = std::chrono::seconds(3));
+  // Sends a request of the service "keyed" for the key.
   std::optional<Answer> Keyed(size_t node, uint32_t key);
+  // HTTP status of the node's readiness endpoint; nullopt when it does not respond.
   std::optional<int> Readiness(size_t node);
-  // Lines that the nodes have written so far; a bounded number of each event in a second.
+  // The log lines written by all nodes so far. Lines are rate-limited per event.
   std::string Log();
-  // What the node tells of itself; its settings name an address for it.
+  // The node's metrics page; the node's settings must have a metrics address.
   std::string Metrics(size_t node);
-  // A heartbeat that somebody sends in the name of a worker; nullopt when no answer came.
+  // Sends a heartbeat on behalf of a worker; nullopt when there is no response.
   std::optional<Answer> Heartbeat(size_t node, const std::string& worker_id,
                                   const std::string& body);
-  // Says in the name of a worker that it leaves.
+  // Deregisters a worker on its behalf; nullopt when there is no response.
   std::optional<Answer> Leave(size_t node, const std::string& worker_id,
                               const std::string& body = "");
-  // An order to a worker that somebody sent earlier arrives now; returns the status of its answer.
+  // Delivers a grant or release to a node's worker, as if it had been delayed in transit. Returns
+  // the HTTP status of the response; -1 when there is none.
   int LateOrder(size_t node, const std::string& target, const std::string& body);
 
-  // How many workers hold the key now.
+  // Number of workers that hold the key.
   int HoldersOf(uint32_t key) const;
-  // Node whose worker holds the key; nullopt when there is none.
+  // Index of the first node whose worker holds the key; nullopt when there is none.
   std::optional<size_t> HolderOf(uint32_t key) const;
+  // Whether each key of a sample (every 512th) has exactly one holder.
   bool EveryKeyHeld() const;
 
   event::EventLoop loop;
