--- a/tests/platform_adapter/crashing_workers.cc
+++ b/tests/platform_adapter/crashing_workers.cc
@@ -6,6 +6,7 @@
 namespace runshelf::platform_adapter {
 namespace {
 
+// Start time of the first worker processes, in milliseconds since the Unix epoch.
 constexpr int64_t kFirstBirth = 1700000000000;
 constexpr int kSlots = 16;
 constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(100);
--- a/tests/platform_adapter/crashing_workers.h
+++ b/tests/platform_adapter/crashing_workers.h
@@ -1,4 +1,5 @@
-// Workers whose process ends when they begin certain requests, and that start again after a while.
+// Test helpers: workers that crash when they execute certain requests and restart after a delay,
+// and a client that repeats such a request.
 #pragma once
 
 #include <map>
@@ -11,29 +12,33 @@
 
 namespace runshelf::platform_adapter {
 
-// Every worker of a fleet but those of the service "other". A request whose target contains "fatal"
-// ends the worker that begins it; others are answered. Outlived by the fleet.
+// Controls all workers of a fleet except those of the service "other". A request whose target
+// contains "fatal" crashes the worker that executes it; other requests get a response. The fleet
+// must outlive this object.
 class CrashingWorkers {
  public:
   explicit CrashingWorkers(Fleet& fleet);
 
-  // Between the end of a worker and the start of its next life.
+  // Time between a worker's crash and its restart.
   void set_down(Duration down) { down_ = down; }
-  // How long a request runs; of a fatal one, until its worker ends.
+  // Execution time of a request; for a fatal one, the time until its worker crashes.
   void set_run_time(Duration run_time) { run_time_ = run_time; }
 
-  // Ends a worker for a reason of its own.
+  // Crashes a worker independently of any request.
   void End(size_t node);
-  // Requests with this target that workers began, and when.
+  // Times at which workers began to execute requests with this target.
   const std::vector<Instant>& Begun(const std::string& target) { return begun_[target]; }
-  // Node whose worker began a request with this target last.
+  // Node whose worker was the last to begin a request with this target.
   size_t LastNode(const std::string& target) { return last_node_[target]; }
-  // How many of them began later than `after` the third; zero when there were fewer.
+  // Number of requests with this target that began more than `after` after the third one's
+  // execution time had passed; zero when fewer than three began.
   size_t BegunAfterThird(const std::string& target, Duration after);
-  // How many began in the first worker that was to end, beside the one that ended it.
+  // Number of fatal requests with this target that began on the first worker to crash while it was
+  // already executing a fatal request.
   size_t BegunBesideFirst(const std::string& target) { return beside_first_[target]; }
-  // Ends of workers so far.
+  // Number of worker crashes so far.
   size_t ends() const { return ends_; }
+  // Whether every node has a running worker.
   bool AllUp() const;
 
  private:
@@ -50,11 +55,12 @@
   std::map<std::string, std::vector<Instant>> begun_;
   std::map<std::string, size_t> last_node_;
   std::map<std::string, size_t> beside_first_;
-  std::set<size_t> doomed_;  // Nodes whose worker runs a fatal request.
+  std::set<size_t> doomed_;  // Nodes whose worker is executing a fatal request.
   size_t ends_ = 0;
 };
 
-// Sends one request again and again, from the given nodes in turn. Outlived by the fleet.
+// Sends the same request at a fixed interval through the given nodes in turn. The fleet must
+// outlive this object.
 class RepeatingCaller {
  public:
   struct Message {
@@ -65,9 +71,10 @@
   };
   RepeatingCaller(Fleet& fleet, std::vector<size_t> nodes, Message message, Duration interval);
 
-  // Sends nothing more and waits for all answers.
+  // Stops sending and waits until all requests have completed.
   void Finish();
   size_t sent() const { return requests_.size(); }
+  // Number of responses with the status; zero counts requests without a response.
   size_t Count(int status) const;
 
  private:
--- a/tests/platform_adapter/simulated_links.cc
+++ b/tests/platform_adapter/simulated_links.cc
@@ -47,7 +47,7 @@
   for (auto& [machine, link] : links_) {
     const double gained = link.bytes_per_second * elapsed;
     for (Direction* direction : {&link.up, &link.down}) {
-      // What was not used is lost.
+      // Unused credit does not accumulate.
       direction->credit = std::min(direction->credit, 0.0) + gained;
     }
   }
@@ -56,7 +56,7 @@
   for (auto& [machine, link] : links_) PassDown(&link);
 }
 
-// Flows take turns, a packet each.
+// Queues packets of all flows round robin.
 void SimulatedLinks::Queue(Instant now) {
   for (bool queued = true; queued;) {
     queued = false;
--- a/tests/platform_adapter/simulated_links.h
+++ b/tests/platform_adapter/simulated_links.h
@@ -1,6 +1,6 @@
-// Links between machines, with a bandwidth each, on the test's event loop: for tests of what nodes
-// send each other when their links are narrow. Packets wait in line, first come first served; each
-// flow has a window of packets in line and adds others as these leave.
+// Simulates network links of limited bandwidth on the test's event loop, for tests of the traffic
+// between nodes with narrow links. Each machine has a full-duplex link with FIFO queues. A flow has
+// at most one window of bytes in the sender's queue and queues more as packets leave.
 #pragma once
 
 #include <deque>
@@ -14,29 +14,32 @@
 
 namespace runshelf::platform_adapter {
 
+// The links of all machines. Not thread-safe: runs on the given event loop.
 class SimulatedLinks {
  public:
   explicit SimulatedLinks(event::EventLoop& loop);
 
+  // Adds a machine whose link has this bandwidth in each direction.
   void AddMachine(const std::string& machine, double bytes_per_second);
 
-  // Bytes on their way from one machine to another.
+  // A transfer of bytes from one machine to another.
   struct Flow {
     std::string from;
     std::string to;
-    size_t left = 0;       // Not in line yet.
-    size_t in_line = 0;    // In line at the sender's link.
-    Instant not_before{};  // Nothing is sent earlier.
-    std::function<void(size_t bytes)> on_arrival;
+    size_t left = 0;                               // Bytes not queued yet.
+    size_t in_line = 0;                            // Bytes in the sender's uplink queue.
+    Instant not_before{};                          // Earliest time at which bytes are queued.
+    std::function<void(size_t bytes)> on_arrival;  // Called for each packet delivered.
   };
+  // Starts the transfer.
   std::shared_ptr<Flow> Send(Flow flow);
-  // The sender gives up: what is in line is still sent, and leads nowhere.
+  // Cancels the transfer: packets already queued still use bandwidth but are not delivered.
   void Abandon(const std::shared_ptr<Flow>& flow);
 
-  // Bytes that a machine has sent since the start, those of abandoned flows included.
+  // Bytes that a machine has sent since the start, including those of abandoned flows.
   size_t BytesSent(const std::string& machine) const;
-  // The longest time that a packet has waited to leave a machine: so long its answers to health
-  // checks took.
+  // The longest time that a packet has waited in a machine's uplink queue, which is the delay that
+  // a health check response would have had.
   Duration LongestWait(const std::string& machine) const;
 
  private:
@@ -47,7 +50,8 @@
   };
   // One direction of a machine's link.
   struct Direction {
-    double credit = 0;  // Bytes that may pass now.
+    double credit =
+        0;  // Bytes that may be sent now; negative after overshooting by part of a packet.
     std::deque<Packet> line;
   };
   struct Link {
--- a/tests/platform_adapter/state_spread.cc
+++ b/tests/platform_adapter/state_spread.cc
@@ -18,11 +18,11 @@
 constexpr const char* kStoreMachine = "store";
 constexpr double kStoreBytesPerSecond = 125e6;
 constexpr double kBytesPerMegabit = 125000;
-// Processor time to take over a changed item, of one whole core.
+// Processor time of a full core to apply a changed item, in seconds per byte.
 constexpr double kSecondsPerByte = 1.0e-7;
 constexpr size_t kMessageOverheadBytes = 200;
 constexpr double kPercent = 100;
-// Time runs slower by this factor.
+// Slow-motion factor: simulated durations are multiplied by it, bandwidths divided.
 constexpr double kSlowMotion = 13;
 
 Duration Slowed(Duration time) {
@@ -40,7 +40,8 @@
 
 }  // namespace
 
-// A connection of a node to the store: bytes of answers share the node's link with all others.
+// Forwards a node's connection to the store over the simulated links, so that store responses
+// compete with the node's other traffic for its link.
 class StateSpread::StoreConnection : public std::enable_shared_from_this<StoreConnection> {
  public:
   StoreConnection(StateSpread* spread, std::string node, std::unique_ptr<event::TcpStream> stream)
@@ -125,14 +126,14 @@
   struct Call {
     Callback callback;
     std::unique_ptr<event::Timer> timer;
-    std::shared_ptr<SimulatedLinks::Flow> flow;  // Under way now, of either direction.
+    std::shared_ptr<SimulatedLinks::Flow> flow;  // In flight, in either direction.
   };
   using Handler =
       std::function<void(Node* receiver, std::function<void(sidecar::FeedAnswer)> respond)>;
 
   void Begin(const event::Endpoint& to, size_t bytes, Duration timeout, Handler handler,
              Callback callback);
-  // What is still under way leads nowhere.
+  // Abandons the flow: its remaining bytes are not delivered.
   void Forget(std::shared_ptr<SimulatedLinks::Flow>& flow) {
     spread_->links_.Abandon(flow);
     flow.reset();
@@ -142,7 +143,7 @@
   StateSpread* spread_;
   Node* node_;
   std::function<void(std::string_view)> on_beacon_;
-  std::set<std::shared_ptr<Call>> calls_;  // Under way.
+  std::set<std::shared_ptr<Call>> calls_;  // In flight.
 };
 
 class StateSpread::Node {
@@ -176,7 +177,7 @@
     watcher_.Start();
     feed_.Start();
   }
-  // Does it when the processor has nothing else to do.
+  // Runs the action once the node's simulated processor is idle.
   void DoWhenFree(std::function<void()> action) {
     const Duration wait = std::max(Duration(0), busy_until_ - spread_->loop.Now());
     later_.push_back(std::make_unique<event::Timer>(spread_->loop, [this, action] {
@@ -197,7 +198,7 @@
   sidecar::StateFeed& feed() { return feed_; }
   Transport& transport() { return *transport_; }
   Instant busy_until() const { return busy_until_; }
-  // The value that was in force at `now`, worked off by then; nullopt: none.
+  // The value in force at `now`, after the simulated processing time; nullopt when there is none.
   std::optional<std::string> ValueInForce(Instant now) const {
     std::optional<std::string> value;
     for (const TakenValue& taken : taken_) {
@@ -258,7 +259,7 @@
   store::StoreClient store_;
   sidecar::PeerDirectory peers_;
   store::PrefixWatcher watcher_;
-  Transport* transport_;  // Owned by the feed.
+  Transport* transport_;  // Owned by feed_.
   sidecar::StateFeed feed_;
   std::vector<std::unique_ptr<event::Timer>> later_;
   Instant busy_until_{};
@@ -315,7 +316,7 @@
   const std::weak_ptr<Call> begun = call;
   call->timer = std::make_unique<event::Timer>(spread_->loop,
                                                [this, begun] { End(begun.lock(), std::nullopt); });
-  // The call is made when the sender has come to it.
+  // The timeout runs from when the sender's processor is idle and the call is sent.
   call->timer->Start(timeout + std::max(Duration(0), node_->busy_until() - spread_->loop.Now()));
   Node* receiver = spread_->NodeAt(to);
   const auto respond = [this, call, receiver, timeout](const sidecar::FeedAnswer& answer) {
--- a/tests/platform_adapter/state_spread.h
+++ b/tests/platform_adapter/state_spread.h
@@ -1,7 +1,7 @@
-// Nodes that spread one part of the state over simulated links: the state feed of each, its copy,
-// and its way to the store. What a change costs a machine's processor is simulated too. All of it
-// runs in slow motion, so that what the test itself costs counts little; times given and returned
-// are those without.
+// Test fixture: nodes that distribute one item of the shared state over simulated links. Each node
+// has its state feed, its snapshot and its connection to the store. The processor time needed to
+// apply a change is simulated too. Everything runs in slow motion, so that the overhead of the test
+// process itself is negligible; durations passed in and returned are not scaled.
 #pragma once
 
 #include <cstdio>
@@ -24,34 +24,38 @@
 
 namespace runshelf::platform_adapter {
 
-// A machine of the fleet.
+// Capacity of the machine that a node runs on.
 struct MachineKind {
-  uint32_t processor_percent = 10;  // Of one core.
-  uint32_t link_megabits = 13;      // A second.
+  uint32_t processor_percent = 10;  // Percent of one core.
+  uint32_t link_megabits = 13;      // Mbit/s in each direction.
 };
 
+// Measures how long a change of the item takes to be in force on all nodes.
 class StateSpread {
  public:
   StateSpread();
   ~StateSpread();
 
   void AddNode(const std::string& name, const std::string& zone, const MachineKind& kind);
-  // Starts all nodes and waits until each has the item as it is.
+  // Starts all nodes and waits until each has the current value of the item. Fails the test after
+  // 10 s. The item must have been written before.
   void Start();
-  // Until `until` the node's processor is taken, and what arrives waits.
+  // Occupies the node's processor for `time`; messages that arrive meanwhile are queued.
   void KeepBusy(const std::string& node, Duration time);
-  // Writes the item.
+  // Writes the item to the store.
   void Write(const std::string& value);
-  // Waits until all nodes have the item as it was written last, or `limit` has passed since then.
-  // Returns the longest time that any of the values written took until all nodes had it or a later
-  // one; `limit` at least when one of them did not come so far.
+  // Waits until the last written value is in force on all nodes, at most `limit` from when it was
+  // written. Returns the longest time that any written value took until it or a later one was in
+  // force on all nodes; at least `limit` if the last value did not get there.
   Duration AwaitLatest(Duration limit);
+  // Names of the nodes on which the last written value is not in force.
   std::vector<std::string> NodesWithoutLatest() const;
   size_t BytesSent(const std::string& node) const { return links_.BytesSent(node); }
-  // How long a node's answers to health checks have waited for its link, at most.
+  // Longest time that any packet waited for a node's uplink, which is the delay that health check
+  // responses would have had.
   Duration LongestWait() const;
   size_t size() const { return nodes_.size(); }
-  // How many of so many requests for its copy, all at once, a node grants.
+  // Requests a node's snapshot `requests` times at once; returns how many requests it grants.
   size_t CopiesGranted(const std::string& node, size_t requests);
   std::string Log();
 
@@ -66,12 +70,13 @@
   struct WrittenValue {
     std::string value;
     Instant written_at{};
-    std::optional<Duration> took;  // Until all nodes had it or a later one.
+    std::optional<Duration> took;  // Until it or a later value was in force on all nodes.
   };
 
   Node* NodeAt(const event::Endpoint& inbound) const;
-  // Place among the values written of the one that a node has taken over; nullopt: none.
+  // Index in written_ of the value in force on a node; nullopt when there is none.
   std::optional<size_t> PlaceOf(const Node& node) const;
+  // Records the time of each value that has come into force on all nodes.
   void NoteProgress();
 
   SimulatedLinks links_{loop};
