--- a/tests/platform_adapter/fixtures.h
+++ b/tests/platform_adapter/fixtures.h
@@ -1,4 +1,4 @@
-// What the tests of whole nodes and the soak share, free of any test framework.
+// Helpers shared by the sidecar tests and the soak test, independent of any test framework.
 #pragma once
 
 #include <cstddef>
@@ -9,10 +9,11 @@
 
 namespace runshelf::platform_adapter {
 
-// Addresses of `ip` that nothing listens on now, each with another port.
+// Returns `count` endpoints of `ip` with distinct ports on which nothing listens at present.
 std::vector<event::Endpoint> FreeEndpoints(const std::string& ip, size_t count);
 
-// The configuration that a fleet starts with, as the operator writes it.
+// The initial route configuration of a test fleet, in the operator's JSON format. `plain_service`
+// is the service of the routes "read" and "send".
 std::string TestConfiguration(int version, const std::string& plain_service);
 
 }  // namespace runshelf::platform_adapter
--- a/tests/platform_adapter/fixtures_test.cc
+++ b/tests/platform_adapter/fixtures_test.cc
@@ -1,4 +1,4 @@
-// What the tests stand on: a node that cannot listen makes any test fail for no fault of the code.
+// Tests of the shared fixtures: a port conflict would make arbitrary sidecar tests fail.
 
 #include "tests/platform_adapter/fixtures.h"
 
@@ -11,8 +11,8 @@
 
 TEST_GROUP(Fixtures){};
 
-// One in a thousand nodes got two equal ports while each port was given back before the next was
-// chosen; with some 160 nodes in a run of these tests, that was every sixth run.
+// Guards against duplicate ports for one node, which occur when each port is released before the
+// next one is chosen: about one node in a thousand, so with some 160 nodes one test run in six.
 TEST(Fixtures, AddressesOfOneNodeDiffer) {
   constexpr size_t kRounds = 10000;
   constexpr size_t kPorts = 4;
--- a/tests/platform_adapter/repeating_relay.cc
+++ b/tests/platform_adapter/repeating_relay.cc
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-// One connection of the node, and the one to the worker that belongs to it. A connection carries
-// one exchange at a time, so what the worker says between two requests is one answer.
+// A connection of the node and the corresponding one to the worker. Requests are not pipelined, so
+// all bytes that the worker sends between two requests form one response.
 class RepeatingRelay::Pair {
  public:
   Pair(RepeatingRelay* relay, std::unique_ptr<event::TcpStream> node)
@@ -48,7 +48,7 @@
       node_.stream->Write(data);
       return;
     }
-    // The head of a request comes in one piece, after the answer to the one before it.
+    // A request head arrives in one piece, after the response to the previous request.
     if (!begun_ || !answer_.empty()) Begin(ExchangeOf(data));
     worker_.stream->Write(data);
   }
@@ -79,7 +79,7 @@
   RepeatingRelay* relay_;
   End node_;
   End worker_;
-  std::string answer_;  // To the latest request.
+  std::string answer_;  // Response bytes to the latest request so far.
   Exchange exchange_ = Exchange::kRequest;
   bool begun_ = false;
   std::vector<std::unique_ptr<event::Timer>> timers_;
--- a/tests/platform_adapter/repeating_relay.h
+++ b/tests/platform_adapter/repeating_relay.h
@@ -1,5 +1,5 @@
-// A relay between a node and its worker that says answers a second time, in the place where the
-// next answer on their connection is expected.
+// Proxy between a node and its worker that duplicates responses: the copy arrives where the node
+// expects the next response on the connection.
 #pragma once
 
 #include <cstddef>
@@ -15,15 +15,20 @@
 
 namespace runshelf::platform_adapter {
 
+// Forwards each connection of the node to the worker. Not thread-safe: runs on the given event
+// loop.
 class RepeatingRelay {
  public:
+  // Kinds of requests that a node sends to its worker.
   enum class Exchange { kRequest, kHealthCheck, kGrant, kRelease };
 
-  // How an answer is said again.
+  // How a response is duplicated.
   struct Repetition {
-    Duration after{0};  // The request whose place it takes; that one reaches the worker at once.
+    // Delay of the copy after the next request arrives; that request is forwarded without delay.
+    Duration after{0};
   };
-  // Whether the answer to `former` is said again where the one to `next` is expected; nullopt: not.
+  // Decides whether the response to `former` is duplicated where the one to `next` is expected;
+  // nullopt when it is not.
   using Policy = std::function<std::optional<Repetition>(Exchange former, Exchange next)>;
 
   // Listens on a free port of the loopback interface.
@@ -34,12 +39,13 @@
 
   event::Endpoint endpoint() const;
   void set_policy(Policy policy) { policy_ = std::move(policy); }
-  // Connections beyond so many at once are closed.
+  // Maximum number of concurrent connections; further ones are closed.
   void set_connection_limit(size_t limit) { connection_limit_ = limit; }
-  // How many of them the node has sent.
+  // Number of requests of this kind that the node has sent.
   size_t Sent(Exchange exchange) const { return sent_[static_cast<size_t>(exchange)]; }
+  // Number of duplicated responses.
   size_t repeated() const { return repeated_; }
-  // Connections that were closed since there were too many.
+  // Number of connections closed because of the limit.
   size_t turned_away() const { return turned_away_; }
 
  private:
--- a/tests/platform_adapter/steady_traffic.cc
+++ b/tests/platform_adapter/steady_traffic.cc
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr Duration kScriptStep = std::chrono::milliseconds(2);
-// A run holds one slot while its call needs another. With these, all that comes in 0.3 s fits at
-// one worker at once, calls included; with the usual four, runs that come together wait for
-// themselves.
+// A request holds one slot while its nested call needs another. 24 slots hold all requests of 0.3 s
+// and their calls; with the default of four, concurrent requests deadlock waiting for slots that
+// they hold themselves.
 constexpr int kSlots = 24;
 constexpr Duration kRunBeforeCall = std::chrono::milliseconds(30);
 constexpr Duration kCallTime = std::chrono::milliseconds(10);
--- a/tests/platform_adapter/steady_traffic.h
+++ b/tests/platform_adapter/steady_traffic.h
@@ -1,5 +1,5 @@
-// Traffic that goes on while a test does something to a fleet: clients that send at a steady rate,
-// and workers whose runs make calls of their own.
+// Background traffic for tests: clients that send at a constant rate, and workers that make nested
+// calls while executing a request.
 #pragma once
 
 #include <list>
@@ -11,18 +11,21 @@
 
 namespace runshelf::platform_adapter {
 
+// The request's Attempt-Id, which must be present.
 std::string RequestId(const http::Request& request);
 
-// The worker beside a node makes one call through it during each run, and its runs fail when their
-// calls do. It says from its next heartbeat on that it has many slots. Outlived by the fleet.
+// Makes the worker of a node send one nested call through that node for each request it executes. A
+// request fails with 500 when its call fails. From the next heartbeat on the worker reports enough
+// slots for the nested calls. The fleet must outlive this object.
 class CallingWorker {
  public:
   CallingWorker(Fleet& fleet, size_t node);
 
+  // Nested calls sent.
   size_t calls_made() const { return calls_made_; }
-  // Calls whose connection closed without an answer.
+  // Nested calls that ended without a response.
   size_t calls_cut() const { return calls_cut_; }
-  // The latest run that began, calls of other runs left out.
+  // When the latest request began to execute, nested calls excluded.
   Instant last_begun() const { return last_begun_; }
 
  private:
@@ -49,21 +52,23 @@
   Instant last_begun_{};
 };
 
-// Clients of one node that keep sending requests that must not run twice. Outlived by the fleet.
+// Clients that send non-idempotent requests through one node at a constant rate. The fleet must
+// outlive this object.
 class SteadyClients {
  public:
   SteadyClients(Fleet& fleet, size_t node);
 
-  // Sends so many at once, as when the machine has held the traffic back for a while.
+  // Sends a burst of requests, as after a stall of the machine.
   void SendAtOnce(size_t count);
-  // Sends nothing more and waits for all answers.
+  // Stops sending and waits until all requests have completed; fails the test on a timeout.
   void Finish();
 
-  // Answers with `status` to requests that were sent between two moments; zero: no answer.
+  // Number of completed requests sent in [from, until) whose response had the status; zero counts
+  // those without a response.
   size_t Count(int status, Instant from = {}, Instant until = Instant::max()) const;
   size_t sent() const { return requests_.size(); }
-  // When each request that was not served was sent, counted from the first one, and how it ended;
-  // for the text of a failed check.
+  // Lists each request without a 200 response with its send time in milliseconds since the first
+  // request, status and body; for failure messages.
   std::string NotServed() const;
 
  private:
