--- a/tests/platform_adapter/second_answers_test.cc
+++ b/tests/platform_adapter/second_answers_test.cc
@@ -1,5 +1,5 @@
-// Workers that answer twice, the second time in the place where the next answer on the connection
-// is expected. Such an answer belongs to nobody.
+// Tests with workers that send a response twice, the copy arriving where the next response on the
+// connection is expected. Such a copy must not be attributed to any request.
 
 #include <CppUTest/TestHarness.h>
 
@@ -19,7 +19,8 @@
 
 namespace {
 
-// Repeats answers to exchanges of one kind where the answer to one of another kind is expected.
+// Duplicates the response to an exchange of kind `former` where that to one of kind `next` is
+// expected.
 RepeatingRelay::Policy Repeat(Exchange former, Exchange next) {
   return [former, next](Exchange answered,
                         Exchange expected) -> std::optional<RepeatingRelay::Repetition> {
@@ -28,6 +29,7 @@
   };
 }
 
+// Routes the node's traffic to its worker through the relay.
 void PutRelayBefore(Fleet& fleet, size_t node, const RepeatingRelay& relay) {
   fleet.nodes[node].settings.worker = relay.endpoint();
 }
@@ -35,7 +37,7 @@
 }  // namespace
 
 TEST_GROUP(SecondAnswers) {
-  // Callers that did not get the whole answer of the fleet's only worker to their request.
+  // Number of requests that did not get the complete response of the fleet's only worker.
   int strange_answers = 0;
 
   void Ask(Fleet & fleet, const std::string& body) {
@@ -45,14 +47,15 @@
     if (answer->status != 200 || !own) ++strange_answers;
   }
 
-  // A worker that is silent is asked for its health. Waits until it has been once more.
+  // Waits for the next health check; a worker without heartbeats gets them periodically.
   void AwaitHealthCheck(Fleet & fleet, const RepeatingRelay& relay) {
     const size_t before = relay.Sent(Exchange::kHealthCheck);
     CHECK(RunUntil(fleet.loop, [&] { return relay.Sent(Exchange::kHealthCheck) > before; }));
   }
 };
 
-// Guards against a success that is the second answer to a health check.
+// Guards against a duplicate health check response passed to a client as the success of its
+// request.
 TEST(SecondAnswers, OfAHealthCheckReachNoCaller) {
   Fleet fleet({"plain"});
   RepeatingRelay relay(fleet.loop, fleet.nodes[0].worker->endpoint());
@@ -66,23 +69,23 @@
     Ask(fleet, std::to_string(round));
   }
   CHECK_EQUAL(0, strange_answers);
-  // They share no connection, so there is nothing to repeat.
+  // Requests and health checks share no connection, so no response is duplicated.
   CHECK_EQUAL(0, relay.repeated());
   CHECK(fleet.Log().find("event=health_check_answer_names_request") == std::string::npos);
 }
 
-// Guards against a health check that takes the second answer to a request, and so leaves its own
-// answer to the next request.
+// Guards against a health check that consumes the duplicate response to a request, so that its own
+// response is taken for that to the next request.
 TEST(SecondAnswers, OfARequestAreNotTakenForThatToAHealthCheck) {
   Fleet fleet({"plain"});
   RepeatingRelay relay(fleet.loop, fleet.nodes[0].worker->endpoint());
   relay.set_policy(Repeat(Exchange::kRequest, Exchange::kHealthCheck));
   PutRelayBefore(fleet, 0, relay);
-  // Health checks wait for a slot.
+  // Delays health check responses, as if they waited for a slot.
   fleet.nodes[0].worker->set_health_delay([] { return std::chrono::milliseconds(200); });
   fleet.Start();
   fleet.nodes[0].worker->set_heartbeats_cut(true);
-  // Takes its time, so that the answer to the health check comes first.
+  // Responds slowly, so that the health check response arrives first.
   fleet.nodes[0].worker->set_behaviour([&fleet](const http::ExchangePtr& exchange) {
     auto timer = std::make_shared<std::unique_ptr<event::Timer>>();
     *timer = std::make_unique<event::Timer>(fleet.loop, [exchange, timer] {
@@ -97,21 +100,21 @@
     RunFor(fleet.loop, std::chrono::milliseconds(20));
   }
   CHECK_EQUAL(0, strange_answers);
-  // They share no connection, so there is nothing to repeat.
+  // Requests and health checks share no connection, so no response is duplicated.
   CHECK_EQUAL(0, relay.repeated());
   CHECK(fleet.Log().find("event=health_check_answer_names_request") == std::string::npos);
 }
 
-// Guards against keys that are given on while their holder is still at work on them, since the
-// second answer to a grant was taken for that to a release.
+// Guards against keys that are granted to another worker while requests still run on them, because
+// the duplicate response to a grant was taken for that to a release.
 TEST(SecondAnswers, OfAGrantAreNotTakenForThatToARelease) {
   Fleet fleet({"keyed", "keyed", "plain"});
   RepeatingRelay relay(fleet.loop, fleet.nodes[0].worker->endpoint());
   relay.set_policy(Repeat(Exchange::kGrant, Exchange::kRelease));
   PutRelayBefore(fleet, 0, relay);
   fleet.Start();
-  // Runs on all of its keys go on for longer than its grants last, and no release is answered
-  // before.
+  // Requests run on all of the worker's keys for longer than its grants last, and no release is
+  // acknowledged before they end.
   bool busy = true;
   std::vector<FakeWorker::Grant> of_busy_worker;
   size_t taken = 0;
@@ -136,15 +139,15 @@
   CHECK_EQUAL(0, taken_early);
 }
 
-// Guards against a shard that is taken for refused, or for granted, by the answer to the grant of
-// another one.
+// Guards against attributing the response to the grant of one shard, acceptance or refusal, to
+// another shard.
 TEST(SecondAnswers, OfAGrantAreNotTakenForThatToAnotherGrant) {
   Fleet fleet({"keyed", "plain"});
   RepeatingRelay relay(fleet.loop, fleet.nodes[0].worker->endpoint());
   PutRelayBefore(fleet, 0, relay);
   fleet.Start();
   relay.set_policy(Repeat(Exchange::kGrant, Exchange::kGrant));
-  // The worker has seen a higher token on one key.
+  // Gives the worker a higher fencing token for one key, so that it refuses the next grant.
   fleet.LateOrder(0, "/runshelf/release", R"({"from_revision":0,"target_version":0,"fence":900})");
   RunFor(fleet.loop, std::chrono::milliseconds(2500));
   const std::string log = fleet.Log();
@@ -159,7 +162,7 @@
   CHECK_EQUAL(0, of_other_shards);
 }
 
-// Guards against a success that no worker vouches for, wherever it came from.
+// Guards against passing on a success without the worker's Server-Stamp, whatever its origin.
 TEST(SecondAnswers, ASuccessWithoutTheStampIsAFailureInDoubt) {
   Fleet fleet({"plain"});
   fleet.Start();
@@ -173,8 +176,8 @@
   CHECK_EQUAL(502, answer->status);
 }
 
-// Guards against an answer to each caller but no way to the worker: many shards must not take up
-// the connections that a worker has for requests.
+// Guards against grants of many shards using up the connections that the worker accepts, so that
+// requests no longer reach it.
 TEST(SecondAnswers, GrantsOfManyShardsLeaveConnectionsToRequests) {
   Fleet fleet({"keyed", "keyed", "plain"});
   RepeatingRelay relay(fleet.loop, fleet.nodes[0].worker->endpoint());
@@ -193,8 +196,8 @@
   }
 }
 
-// Guards against keys that stay with nobody, since their release needs a connection that the worker
-// does not take any more.
+// Guards against keys left without a holder because their release needs a new connection, which the
+// draining worker no longer accepts.
 TEST(SecondAnswers, AWorkerThatTakesNoNewConnectionsHandsItsKeysOver) {
   Fleet fleet({"keyed", "keyed", "plain"});
   fleet.Start();
@@ -209,13 +212,13 @@
     }
     return true;
   };
-  // Grants last 3 s, a release is waited for 2 s, and the map changes more than once.
+  // Grants last 3 s, a release times out after 2 s, and the shard map changes more than once.
   CHECK(RunUntil(fleet.loop, moved, std::chrono::seconds(8)));
   CHECK(released > 0);
 }
 
-// Guards against a grant that is sent in a loop, since its refusal is in doubt and the connection
-// on which it is asked again is reset at once.
+// Guards against a grant retried in a busy loop when it is unclear whether it was refused and each
+// connection for the retry is reset at once.
 TEST(SecondAnswers, ARefusalInDoubtIsNotAskedAgainInALoop) {
   Fleet fleet({"keyed", "plain"});
   RepeatingRelay relay(fleet.loop, fleet.nodes[0].worker->endpoint());
@@ -223,7 +226,7 @@
   fleet.Start();
   RunFor(fleet.loop, std::chrono::milliseconds(1200));
   relay.set_connection_limit(0);
-  // Of a shard whose grants share connections with others.
+  // Targets a shard whose grants share connections with those of other shards.
   fleet.LateOrder(0, "/runshelf/release",
                   R"({"from_revision":60000,"target_version":60000,"fence":900})");
   RunFor(fleet.loop, std::chrono::milliseconds(2000));
@@ -231,8 +234,7 @@
   CHECK(relay.turned_away() < 200);
 }
 
-// Guards against a refusal that names no request, and that the request waits behind until its
-// deadline.
+// Guards against a request that waits until its deadline after a refusal without an Attempt-Id.
 TEST(SecondAnswers, ARefusalWithoutTheIdIsNotWaitedOut) {
   Fleet fleet({"plain"});
   fleet.Start();
--- a/tests/platform_adapter/sidecar_keys_test.cc
+++ b/tests/platform_adapter/sidecar_keys_test.cc
@@ -1,4 +1,4 @@
-// Who holds which keys, as workers see it, when nodes and workers restart, leave or are lost.
+// Tests of shard key ownership, as workers see it, when nodes and workers restart, drain or fail.
 
 #include <CppUTest/TestHarness.h>
 
@@ -55,8 +55,9 @@
   CHECK(fleet.nodes[*fleet.HolderOf(0)].worker->Holds(0)->fence > fence);
 }
 
-// Grants go to an address. A worker that has ended and the next one at its address are told apart
-// by what they say of themselves, which comes later.
+// Guards against a grant for a terminated worker that reaches its successor: grants are sent to an
+// address, and the successor at that address is recognized only by its first heartbeat or health
+// check.
 TEST(SidecarKeys, AGrantMeantForAFormerWorkerDoesNotReachTheNext) {
   Fleet fleet({"keyed", "other"});
   fleet.Start();
@@ -68,7 +69,7 @@
   next->set_sharded(true);
   next->set_health_silent(true);
   next->Listen(port);
-  // Longer than grants are renewed after.
+  // Longer than the renewal interval of grants.
   RunFor(fleet.loop, std::chrono::milliseconds(1300));
   CHECK_EQUAL(0, next->grants().size());
   next->set_health_silent(false);
@@ -77,7 +78,8 @@
   for (const FakeWorker::Grant& grant : next->grants()) CHECK(grant.fence > fence);
 }
 
-// Each of them would spend a connection and the processor time of a small machine.
+// Guards against failed grants retried in a busy loop: each attempt costs a connection, and
+// together they use up the processor of a small machine.
 TEST(SidecarKeys, GrantsThatFailAtOnceAreNotRepeatedInALoop) {
   Fleet fleet({"keyed", "other"});
   fleet.Start();
@@ -89,13 +91,14 @@
     return fault;
   });
   RunFor(fleet.loop, std::chrono::milliseconds(2000));
-  // 32 shards, each some five times a second once its renewal is due.
+  // 32 shards, each retried about five times a second once its renewal is due.
   CHECK(orders > 32);
   CHECK(orders < 500);
 }
 
-// Whoever wrote it: the map that is known holds. It is not written again, as it may be older than
-// the one that was lost: an owner that the lost one named would share its keys with a former one.
+// The last known shard map stays in force when the stored one cannot be parsed. It is not written
+// back, as it may be older than the map that was overwritten: an owner named by that map would then
+// share its keys with a former owner.
 TEST(SidecarKeys, AShardMapThatCannotBeReadChangesNothingAndIsLogged) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
@@ -144,7 +147,8 @@
   fleet.Start();
   const size_t lost = *fleet.HolderOf(0);
   fleet.Kill(lost);
-  // Its worker still holds the keys for a moment; nobody else may before the lease is gone.
+  // The lost node's worker still holds its keys; no other worker may get them before the node's
+  // lease expires.
   RunFor(fleet.loop, std::chrono::milliseconds(500));
   CHECK(fleet.HoldersOf(0) <= 1);
   fleet.store.LapseLeases();
@@ -166,9 +170,9 @@
   CHECK_EQUAL(200, fleet.Keyed(2, 0)->status);
 }
 
-// A grant without an answer may be taken seconds later. Found by a hunt (lagesse-mesh, mix
-// 1089251233620): the former owner took its old grant again after the keys had gone to another
-// worker.
+// Guards against two holders of a key: a grant without a response may reach the worker seconds
+// later, and a former owner accepted its old grant again after the keys had moved to another
+// worker. Found by a fault search (lagesse-mesh, mix 1089251233620).
 TEST(SidecarKeys, AGrantThatIsTakenLateIsRefusedAfterAMove) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
@@ -183,7 +187,7 @@
   CHECK_EQUAL(1, fleet.HoldersOf(0));
 }
 
-// A node may die between the release of keys and the change of the map.
+// A node may fail after a worker released its keys and before the shard map is changed.
 TEST(SidecarKeys, KeysThatWereReleasedAndNotHandedOverAreGrantedAgain) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
--- a/tests/platform_adapter/sidecar_test.cc
+++ b/tests/platform_adapter/sidecar_test.cc
@@ -1,4 +1,5 @@
-// Whole sidecars with workers and a store: what callers, workers and operators see.
+// End-to-end tests of sidecars with fake workers and a fake store: behaviour visible to clients,
+// workers and operators.
 
 #include <CppUTest/TestHarness.h>
 #include <sys/socket.h>
@@ -83,7 +84,7 @@
 TEST(Sidecar, ARepeatableRequestThatWasLostIsSentToAnotherWorker) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
-  // Earns the budget that retries draw on.
+  // Fills the retry budget.
   for (int count = 0; count < 60; ++count) fleet.Request(2, "GET", "/read/0", "");
   fleet.nodes[0].worker->set_behaviour(
       [](const http::ExchangePtr& exchange) { exchange->Abort(); });
@@ -94,11 +95,13 @@
   }
 }
 
-// A repeated run repeats the calls of its worker: few are allowed, or the services that are called
-// get more repeats than the fleet's budget.
+// Guards against retry amplification: retrying a failed request also repeats the calls that its
+// worker made, so without a tight limit the called services see more retries than the fleet's
+// budget allows.
 TEST(Sidecar, FewRunsThatFailedAreRepeated) {
   constexpr size_t kRequests = 60;
-  constexpr size_t kMaxRepeated = 6;  // 0.35 of 0.2 of the requests, and the floor of one node.
+  constexpr size_t kMaxRepeated =
+      6;  // 0.35 of the retry budget of 0.2 per request, plus the minimum of one node.
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
   for (size_t node : {0U, 1U}) {
@@ -108,7 +111,7 @@
   for (size_t count = 0; count < kRequests; ++count) {
     const auto answer = fleet.Request(2, "GET", "/read/1", "");
     CHECK_EQUAL(500, answer->status);
-    // Also when no budget was left for another run.
+    // Holds also for requests that the exhausted budget kept from being retried.
     STRCMP_EQUAL("what failed", answer->body.c_str());
   }
   const size_t runs =
@@ -130,7 +133,7 @@
   CHECK(answer->headers.Has("Retry-After"));
 }
 
-// All slots of the worker beside `node` are taken, and the node has measured what they take.
+// Occupies all slots of the worker of `node` after the node has measured one execution time.
 static void FillWorker(Fleet& fleet, size_t node, std::vector<http::ExchangePtr>* held,
                        std::vector<std::unique_ptr<Fleet::PendingRequest>>* pending) {
   constexpr size_t kSlots = 4;
@@ -172,7 +175,8 @@
   }
 }
 
-// A call that is refused or late costs the run that waits for it.
+// Nested calls take precedence: a call that is refused or late also fails the request that waits
+// for it.
 TEST(Sidecar, CallsOfARunningWorkerComeBeforeNewWork) {
   Fleet fleet({"plain", "keyed"});
   fleet.Start();
@@ -187,7 +191,7 @@
   parent_headers.Add("Shard-Key", "7");
   const auto parent = fleet.Begin(1, "GET", "/keyed/1", "", parent_headers);
   CHECK(RunUntil(fleet.loop, [&] { return parents.size() == 1; }));
-  // Of higher priority by its route than the call, and earlier.
+  // Sent before the call, and of higher priority by its route.
   const auto new_work = fleet.Begin(1, "POST", "/send/new", "");
   RunFor(fleet.loop, std::chrono::milliseconds(30));
   http::Headers call_headers;
@@ -197,7 +201,7 @@
   AnswerRun(held.front(), 200);
   CHECK(RunUntil(fleet.loop, [&] { return held.size() == 5; }));
   STRCMP_EQUAL("/read/call", held.back()->request().head.target.c_str());
-  // An id that only looks like one of a call gets no such rank.
+  // An id that looks like that of a call but has no running parent gets no precedence.
   http::Headers forged_headers;
   forged_headers.Add("Attempt-Id", "nobody.call");
   const auto forged = fleet.Begin(1, "GET", "/read/forged", "", forged_headers);
@@ -207,7 +211,7 @@
   STRCMP_EQUAL("/send/new", held.back()->request().head.target.c_str());
 }
 
-// The worker beside `node` answers nothing and notes when a request is given up.
+// Makes the worker of `node` hold every request and record when one is cancelled.
 static void HoldUntilCancelled(Fleet& fleet, size_t node, std::vector<http::ExchangePtr>* held,
                                bool* cancelled) {
   fleet.nodes[node].worker->set_behaviour([held, cancelled](const http::ExchangePtr& exchange) {
@@ -244,7 +248,7 @@
       fleet.loop, [&] { return cancelled; }, std::chrono::milliseconds(400)));
 }
 
-// Sends a request and closes the connection before the node had a turn to read either.
+// Sends a request and closes the connection before the node's event loop reads from it.
 static void SendAndLeave(const event::Endpoint& node, const std::string& request) {
   const int client = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address{};
@@ -258,8 +262,8 @@
 TEST(Sidecar, ARequestOfAClientThatHasLeftReachesNoWorker) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
-  // At the node beside the worker, and at another one. Both have connections on which a request
-  // would be on its way at once.
+  // Opens idle connections at the worker's own node and at another one, so that either could
+  // forward a request at once.
   for (size_t node = 0; node < fleet.nodes.size(); ++node) {
     CHECK_EQUAL(200, fleet.Request(node, "GET", "/read/1", "")->status);
   }
@@ -269,7 +273,7 @@
                  "GET /read/1 HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: a-" +
                      std::to_string(node) + "\r\nDeadline-Ms: 2000\r\n\r\n");
   }
-  // Request and close are both there before the first turn.
+  // Both the request and the close arrive before the next loop iteration.
   std::this_thread::sleep_for(std::chrono::milliseconds(50));
   RunFor(fleet.loop, std::chrono::milliseconds(200));
   CHECK_EQUAL(executed, fleet.nodes[0].worker->executed().size());
@@ -311,7 +315,7 @@
   CHECK(RunUntil(fleet.loop, [&] { return fleet.store.Find("runshelf/drains/n0") != nullptr; }));
   RunFor(fleet.loop, std::chrono::milliseconds(150));
   fleet.Kill(0);
-  // A heartbeat from before comes late: the worker still counts as leaving.
+  // Plays a heartbeat delayed from before the drain: the worker must still count as draining.
   fleet.nodes[0].worker->set_draining(false);
   fleet.Restart(0);
   RunFor(fleet.loop, std::chrono::milliseconds(300));
@@ -347,8 +351,9 @@
   CHECK(*fleet.HolderOf(0) != leaving);
 }
 
-// Found on the grown hwd-ktm (scale-2): clients of a zone where most nodes stop are still sent to
-// them, and a request that came late was cut at the end of the grace period.
+// Guards against requests cut off at the end of the grace period: when most nodes of a zone stop,
+// clients are still directed to them, and a late request cannot finish in time. Seen on the
+// enlarged hwd-ktm deployment (scale-2).
 TEST(Sidecar, AStoppingNodeRefusesWhatItCouldNotFinish) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
@@ -375,8 +380,9 @@
   CHECK(RunUntil(fleet.loop, [&] { return stopped; }));
 }
 
-// Found on the grown lagesse-mesh (inc-af42): the first two nodes were lost together, and until
-// their leases ended every node watched the store for itself, at five times the calls.
+// Guards against every node watching the store on its own, at five times the calls, until the
+// leases expire when the feed's leader and standby are lost together. Seen on the enlarged
+// lagesse-mesh deployment (inc-af42).
 TEST(Sidecar, AnotherNodeLeadsTheFeedWhenTheFirstTwoAreLostTogether) {
   Fleet fleet({"other", "other", "plain", "plain", "plain", "plain"});
   fleet.Start();
@@ -395,11 +401,11 @@
     fleet.store.Put("op/config", TestConfiguration(version, "plain"));
     RunFor(fleet.loop, std::chrono::milliseconds(300));
   }
-  // One node watches and asks again after each change; with four it was four times as often.
+  // One node watches and renews its watch after each change; four nodes made four times the calls.
   CHECK(fleet.store.calls("/runshelf/kv-watch") - before <= 6);
 }
 
-// Only two nodes hold watches; the others get changes from the first one.
+// Only the leader and the standby watch the store; the other nodes get changes from the leader.
 TEST(Sidecar, AChangeReachesEveryNodeThroughTheLeader) {
   Fleet fleet({"plain", "other", "other", "other", "other"});
   fleet.Start();
@@ -415,8 +421,9 @@
   CHECK_EQUAL(watches + 2, fleet.store.calls("/runshelf/kv-watch"));
 }
 
-// A large item that changes faster than the feed's leader asks for changes: its patches skip
-// revisions, and a node that has read the store in between has one that no patch starts from.
+// Guards against repeated store reads when a large item changes faster than the leader fetches
+// changes: its patches then skip revisions, and a node that read the store in between has a
+// revision to which no patch applies.
 TEST(Sidecar, ManyChangesOfALargeItemReachANewNodeWithoutReadsOfTheStore) {
   Fleet fleet({"plain", "other", "other", "other", "other", "other"});
   for (size_t node = 0; node < fleet.nodes.size(); ++node) {
@@ -440,7 +447,8 @@
   fleet.Kill(restarted);
   fleet.Restart(restarted);
   RunFor(fleet.loop, std::chrono::milliseconds(2500));
-  // Of the node that started: configuration and state, and once more when it missed the lease.
+  // Reads of the restarted node: configuration and state, each a second time if it read before it
+  // had its lease.
   CHECK(fleet.store.calls("/runshelf/kv-range") - before <= 4);
 }
 
@@ -452,13 +460,14 @@
   fleet.Kill(1);
   fleet.store.Put("op/config", TestConfiguration(2, "other"));
   RunFor(fleet.loop, std::chrono::milliseconds(1900));
-  // Both remaining nodes know the new version, which sends this route to another service.
+  // Both remaining nodes have the new version, which routes this path to another service.
   for (const size_t node : {2U, 3U}) {
     CHECK(fleet.Request(node, "GET", "/read/1", "")->body != "w2:");
   }
 }
 
-// Where a start took so long that the state was read without a lease, another one tells.
+// Retried up to three times: a start so slow that the state is read before the lease is granted
+// reads it again.
 TEST(Sidecar, ANodeReadsTheStateOnceWhenItStarts) {
   uint64_t least_reads = UINT64_MAX;
   for (int attempt = 0; attempt < 3 && least_reads > 2; ++attempt) {
@@ -467,12 +476,12 @@
     RunFor(fleet.loop, std::chrono::milliseconds(600));
     least_reads = std::min(least_reads, fleet.store.calls("/runshelf/kv-range"));
   }
-  // The configuration and the state, each whole.
+  // One full read each of the configuration and the state.
   CHECK_EQUAL(2, least_reads);
 }
 
-// The next in line learns of a stop after most of a second; until then all others would be without
-// news, and each of them would ask the store itself.
+// Guards against a gap in the feed: the standby notices a stop only after most of a second, and
+// until then every other node would get no changes and read the store itself.
 TEST(Sidecar, ALeaderThatStopsLeadsOnUntilItEnds) {
   Fleet fleet({"other", "other", "plain", "other"});
   fleet.Start();
@@ -484,7 +493,7 @@
   const auto leader = std::find_if(fleet.nodes.begin(), fleet.nodes.end(), leads);
   bool stopped = false;
   leader->sidecar->Stop([&] { stopped = true; });
-  RunFor(fleet.loop, std::chrono::milliseconds(450));  // One beacon.
+  RunFor(fleet.loop, std::chrono::milliseconds(450));  // One beacon interval.
   CHECK(leader->sidecar->leads_feed());
   CHECK(RunUntil(
       fleet.loop, [&] { return stopped; }, std::chrono::seconds(8)));
@@ -507,12 +516,12 @@
                            "runshelf_loop_turn_seconds_count"}) {
     CHECK_TEXT(text.find(line) != std::string::npos, line);
   }
-  // A reader that takes only the beginning of the text has the single values.
+  // Scalar metrics precede histograms, so that a truncated read still contains them.
   CHECK(text.find("runshelf_grants_sent_total") < text.find("runshelf_request_duration_seconds"));
 }
 
-// Guards against a 404 for a route that is in force elsewhere, from a node that was told of a newer
-// configuration and has not got it.
+// Guards against a 404 for a route that exists in a newer configuration that this node knows of but
+// has not received yet.
 TEST(Sidecar, ANodeThatIsBehindDoesNotSayThatARouteIsMissing) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
--- a/tests/platform_adapter/state_spread_test.cc
+++ b/tests/platform_adapter/state_spread_test.cc
@@ -1,4 +1,5 @@
-// How long changes of the state take to all nodes when their links are narrow.
+// Tests how long a change of the shared state takes to be in force on all nodes when links are
+// narrow.
 #include "tests/platform_adapter/state_spread.h"
 
 #include <CppUTest/TestHarness.h>
@@ -15,10 +16,11 @@
 constexpr MachineKind kNarrow{10, 13};
 constexpr MachineKind kWide{50, 200};
 constexpr MachineKind kLeader{100, 200};
-// Fleets promise their operators two seconds or more.
+// The strictest time that deployments guarantee their operators for a change to be in force.
 constexpr Duration kInForceWithin = std::chrono::seconds(2);
 
-// Rows of routes, as a configuration has them; those of a longer one begin with those of a shorter.
+// Generates route rows in the configuration's format. The rows for a smaller `count` are a prefix
+// of those for a larger one.
 std::string Routes(size_t count, int version = 1) {
   SeededRandom random(7);
   std::string text = fmt::format("{{\"version\":{},\"rows\":[", version);
@@ -51,7 +53,7 @@
   }
 };
 
-// Guards against transfers that share a narrow link, all run out of their time, and begin anew.
+// Guards against concurrent transfers over one narrow link that all time out and start over.
 TEST(StateSpread, ALargeChangeReachesAZoneOfNarrowLinksInTime) {
   AddZone("a", 2, kLeader);
   AddZone("b", 28, kNarrow);
@@ -61,8 +63,9 @@
   CheckInForceInTime();
 }
 
-// Guards against a second change that meets the transfers of the first, in a zone whose strongest
-// nodes were busy for a moment, so that one with a narrow link was asked to send to all others.
+// Guards against a node with a narrow link that has to send a change to its whole zone. This
+// happens when a second change overlaps the transfers of the first one while the zone's nodes with
+// wide links are busy.
 TEST(StateSpread, ChangesInARowReachAZoneWhoseWideReadersAreBusyForAMoment) {
   AddZone("a", 2, kLeader);
   spread.AddNode("wide-0", "b", kWide);
@@ -78,8 +81,8 @@
   CheckInForceInTime();
 }
 
-// Guards against a node that all its neighbours ask for its copy at once, and whose link is full
-// for seconds: the others read the store.
+// Guards against a node whose link is saturated for seconds because all its neighbours request its
+// snapshot at once. Neighbours that are refused read the store.
 TEST(StateSpread, ANodeHandsOutNoMoreCopiesThanItsLinkCarriesSoon) {
   AddZone("a", 2, kLeader);
   AddZone("b", 1, kNarrow);
--- a/tests/platform_adapter/table_test.cc
+++ b/tests/platform_adapter/table_test.cc
@@ -1,5 +1,5 @@
-// The operators' table in the platform's store: edited by the editor of runshelfctl, applied by
-// sidecars.
+// Tests of the operators' table in the platform's store: edits by runshelfctl's TableEditor and
+// their effect on sidecars.
 
 #include <CppUTest/TestHarness.h>
 
@@ -18,7 +18,7 @@
 
 namespace {
 
-// A store on a loop and a thread of its own, for tools that block.
+// A fake store with its own thread and event loop, for clients that block.
 class StoreThread {
  public:
   StoreThread() : thread_([this] { Run(); }) {
@@ -118,7 +118,7 @@
   CHECK_EQUAL(40, served + limited);
   CHECK(served >= 2);
   CHECK(served <= 8);
-  // Other classes are not bound.
+  // Other caller classes are not limited.
   CHECK_EQUAL(200, fleet.Request(2, "POST", "/send/1", "")->status);
   fleet.store.Remove(key);
   RunFor(fleet.loop, std::chrono::milliseconds(200));
