--- a/tests/platform_adapter/crashing_workers.cc
+++ b/tests/platform_adapter/crashing_workers.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // Start time of the first worker processes, in milliseconds since the Unix epoch.
-constexpr int64_t kFirstBirth = 1700000000000;
+constexpr int64_t kFirstStartTimeMs = 1700000000000;
 constexpr int kSlots = 16;
 constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(100);
 
@@ -18,7 +18,7 @@
 }  // namespace
 
 CrashingWorkers::CrashingWorkers(Fleet& fleet)
-    : fleet_(fleet), born_(fleet.nodes.size(), kFirstBirth) {
+    : fleet_(fleet), born_(fleet.nodes.size(), kFirstStartTimeMs) {
   for (size_t node = 0; node < fleet_.nodes.size(); ++node) {
     ports_.push_back(fleet_.nodes[node].worker->endpoint().port);
     Attach(node);
@@ -35,7 +35,7 @@
     begun_[target].push_back(fleet_.loop.Now());
     last_node_[target] = node;
     if (IsFatal(exchange)) {
-      const bool beside_another = !doomed_.insert(node).second;
+      const bool beside_another = !crashing_nodes_.insert(node).second;
       if (beside_another && ends_ == 0) ++beside_first_[target];
       Later(run_time_, [this, node] { End(node); });
       return;
@@ -47,7 +47,7 @@
 void CrashingWorkers::End(size_t node) {
   if (fleet_.nodes[node].worker == nullptr) return;
   ++ends_;
-  doomed_.erase(node);
+  crashing_nodes_.erase(node);
   fleet_.nodes[node].worker.reset();
   Later(down_, [this, node] { StartNext(node); });
 }
--- a/tests/platform_adapter/crashing_workers.h
+++ b/tests/platform_adapter/crashing_workers.h
@@ -55,7 +55,7 @@
   std::map<std::string, std::vector<Instant>> begun_;
   std::map<std::string, size_t> last_node_;
   std::map<std::string, size_t> beside_first_;
-  std::set<size_t> doomed_;  // Nodes whose worker is executing a fatal request.
+  std::set<size_t> crashing_nodes_;  // Nodes whose worker is executing a fatal request.
   size_t ends_ = 0;
 };
 
--- a/tests/platform_adapter/fake_worker.cc
+++ b/tests/platform_adapter/fake_worker.cc
@@ -13,7 +13,7 @@
 // Timeout of a heartbeat; a later response is ignored.
 constexpr Duration kAnswerWindow = std::chrono::seconds(1);
 // Interval at which the worker checks whether the requests on keys being released have finished.
-constexpr Duration kLetGoPoll = std::chrono::milliseconds(5);
+constexpr Duration kReleasePollInterval = std::chrono::milliseconds(5);
 
 bool Overlaps(const FakeWorker::Grant& grant, uint32_t first, uint32_t last) {
   return grant.first <= last && first <= grant.last;
@@ -69,7 +69,7 @@
       server_(loop, [this](const http::ExchangePtr& exchange) { Handle(exchange); }),
       pool_(loop),
       heartbeat_timer_(loop, [this] { SendHeartbeat(); }),
-      let_go_timer_(loop, [this] { FinishLetGo(); }),
+      release_timer_(loop, [this] { FinishReleases(); }),
       late_heartbeat_(loop, [this] { send_late_(); }) {}
 
 int FakeWorker::Listen(uint16_t port) { return server_.Listen({"127.0.0.1", port}); }
@@ -159,7 +159,7 @@
         if (response->status != 200) return;
         if (leaving && !leaving_acknowledged_at_) leaving_acknowledged_at_ = loop_.Now();
         released_.erase(released_.begin(), released_.begin() + static_cast<long>(released));
-        if (keys_in_heartbeats_) OnLease(response->body, made);
+        if (keys_in_heartbeats_) OnHeartbeatResponse(response->body, made);
         if (fault != HeartbeatFault::kSentTwice) return;
         // The response to the duplicate is ignored.
         send_late_ = [this, body, made] { CallNode(body, made, HeartbeatFault::kAnswerLost); };
@@ -168,7 +168,7 @@
 }
 
 // Handles the response to a heartbeat sent at `sent`, which lists all keys the worker is to hold.
-void FakeWorker::OnLease(const std::string& body, Instant sent) {
+void FakeWorker::OnHeartbeatResponse(const std::string& body, Instant sent) {
   const json answer = json::parse(body);
   if (!answer.contains("holds") || body.size() > 4096) return;
   const std::vector<Grant> before = std::move(grants_);
@@ -182,16 +182,16 @@
           Overlaps(old, grant.first, grant.last))
         grant.handover = old.handover;
     }
-    if (TakeRow(grant)) grants_.push_back(grant);
+    if (AcceptGrant(grant)) grants_.push_back(grant);
   }
   for (const Grant& old : before) {
     for (const Grant& left_out : Without(old, grants_)) ending_.push_back(left_out);
   }
-  FinishLetGo();
+  FinishReleases();
 }
 
-void FakeWorker::FinishLetGo() {
-  const size_t told = released_.size();
+void FakeWorker::FinishReleases() {
+  const size_t released_before = released_.size();
   std::erase_if(ending_, [this](const Grant& grant) {
     if (Busy(grant.first, grant.last)) return false;
     released_.push_back(grant);
@@ -199,10 +199,10 @@
   });
   AnswerReleases();
   // Reports the released keys to the node within a tenth of a second.
-  if (released_.size() > told) {
+  if (released_.size() > released_before) {
     heartbeat_timer_.Start(std::min<Duration>(interval_, std::chrono::milliseconds(50)));
   }
-  if (!ending_.empty() || !open_releases_.empty()) let_go_timer_.Start(kLetGoPoll);
+  if (!ending_.empty() || !open_releases_.empty()) release_timer_.Start(kReleasePollInterval);
 }
 
 // Reentrant: sending a response may synchronously deliver the next grant or release on the same
@@ -223,7 +223,7 @@
 }
 
 // Returns false when a higher fencing token has been seen for one of the keys.
-bool FakeWorker::TakeRow(const Grant& grant) {
+bool FakeWorker::AcceptGrant(const Grant& grant) {
   for (const Grant& seen : fences_seen_) {
     if (Overlaps(seen, grant.first, grant.last) && seen.fence > grant.fence) {
       ++refused_orders_;
@@ -274,24 +274,24 @@
   }
   const bool late = fault.lateness > Duration(0);
   DoLater(fault.lateness, [this, exchange, answered = fault.answered, late] {
-    CarryOut(exchange, answered, late);
+    ProcessOrder(exchange, answered, late);
   });
 }
 
-void FakeWorker::CarryOut(const http::ExchangePtr& exchange, bool answered, bool late) {
+void FakeWorker::ProcessOrder(const http::ExchangePtr& exchange, bool answered, bool late) {
   const json body = json::parse(exchange->request().body);
   if (exchange->request().head.target == "/runshelf/grant") {
-    const int status = TakeGrant(body, late);
+    const int status = HandleGrant(body, late);
     if (answered) exchange->Respond(status, {}, "");
     return;
   }
-  TakeRelease(body);
+  HandleRelease(body);
   if (!answered) return;
   open_releases_.push_back({exchange, body["from_revision"], body["target_version"]});
-  FinishLetGo();
+  FinishReleases();
 }
 
-int FakeWorker::TakeGrant(const json& body, bool late) {
+int FakeWorker::HandleGrant(const json& body, bool late) {
   Grant grant;
   grant.first = body["from_revision"];
   grant.last = body["target_version"];
@@ -313,7 +313,7 @@
   return 200;
 }
 
-void FakeWorker::TakeRelease(const json& body) {
+void FakeWorker::HandleRelease(const json& body) {
   const uint32_t first = body["from_revision"];
   const uint32_t last = body["target_version"];
   Grant seen;
--- a/tests/platform_adapter/fake_worker.h
+++ b/tests/platform_adapter/fake_worker.h
@@ -122,13 +122,13 @@
   void Handle(const http::ExchangePtr& exchange);
   // Processes a grant or release, subject to the injected fault.
   void HandleOrder(const http::ExchangePtr& exchange);
-  void CarryOut(const http::ExchangePtr& exchange, bool answered, bool late);
+  void ProcessOrder(const http::ExchangePtr& exchange, bool answered, bool late);
   // Returns the HTTP status of the response.
-  int TakeGrant(const nlohmann::json& body, bool late);
-  void TakeRelease(const nlohmann::json& body);
+  int HandleGrant(const nlohmann::json& body, bool late);
+  void HandleRelease(const nlohmann::json& body);
   bool Busy(uint32_t first, uint32_t last) const { return busy_ && busy_(first, last); }
   // Completes releases of keys on which no request runs any more.
-  void FinishLetGo();
+  void FinishReleases();
   void AnswerReleases();
   void DoLater(Duration delay, std::function<void()> action);
   void HandleRequest(const http::ExchangePtr& exchange);
@@ -136,8 +136,8 @@
   void Deregister();
   std::string HeartbeatBody();
   void CallNode(const std::string& body, Instant made, HeartbeatFault fault);
-  void OnLease(const std::string& body, Instant sent);
-  bool TakeRow(const Grant& grant);
+  void OnHeartbeatResponse(const std::string& body, Instant sent);
+  bool AcceptGrant(const Grant& grant);
 
   event::EventLoop& loop_;
   std::string id_;
@@ -173,7 +173,7 @@
     uint32_t last = 0;
   };
   std::vector<OpenRelease> open_releases_;
-  event::Timer let_go_timer_;
+  event::Timer release_timer_;
   bool keys_in_heartbeats_ = false;
   bool heartbeats_cut_ = false;
   bool health_silent_ = false;
