--- a/tests/platform_adapter/repeating_relay.cc
+++ b/tests/platform_adapter/repeating_relay.cc
@@ -60,11 +60,11 @@
     if (!std::exchange(begun_, true) || !relay_->policy_) return;
     if (const auto repetition = relay_->policy_(former, exchange)) {
       ++relay_->repeated_;
-      Say(repetition->after, former_answer);
+      SendCopy(repetition->after, former_answer);
     }
   }
 
-  void Say(Duration after, const std::string& bytes) {
+  void SendCopy(Duration after, const std::string& bytes) {
     if (after <= Duration(0)) return node_.stream->Write(bytes);
     timers_.push_back(std::make_unique<event::Timer>(relay_->loop_, [this, bytes] {
       if (node_.stream != nullptr) node_.stream->Write(bytes);
@@ -90,7 +90,7 @@
       worker_(std::move(worker)),
       listener_(loop, [this](std::unique_ptr<event::TcpStream> stream) {
         if (pairs_.size() >= connection_limit_) {
-          ++turned_away_;
+          ++rejected_connections_;
           return;
         }
         pairs_.push_back(std::make_unique<Pair>(this, std::move(stream)));
--- a/tests/platform_adapter/repeating_relay.h
+++ b/tests/platform_adapter/repeating_relay.h
@@ -46,7 +46,7 @@
   // Number of duplicated responses.
   size_t repeated() const { return repeated_; }
   // Number of connections closed because of the limit.
-  size_t turned_away() const { return turned_away_; }
+  size_t rejected_connections() const { return rejected_connections_; }
 
  private:
   class Pair;
@@ -58,7 +58,7 @@
   Policy policy_;
   size_t sent_[4] = {};
   size_t repeated_ = 0;
-  size_t turned_away_ = 0;
+  size_t rejected_connections_ = 0;
   size_t connection_limit_ = SIZE_MAX;
 };
 
--- a/tests/platform_adapter/second_answers_test.cc
+++ b/tests/platform_adapter/second_answers_test.cc
@@ -30,7 +30,7 @@
 }
 
 // Routes the node's traffic to its worker through the relay.
-void PutRelayBefore(Fleet& fleet, size_t node, const RepeatingRelay& relay) {
+void RouteThroughRelay(Fleet& fleet, size_t node, const RepeatingRelay& relay) {
   fleet.nodes[node].settings.worker = relay.endpoint();
 }
 
@@ -38,13 +38,13 @@
 
 TEST_GROUP(SecondAnswers) {
   // Number of requests that did not get the complete response of the fleet's only worker.
-  int strange_answers = 0;
+  int wrong_answers = 0;
 
-  void Ask(Fleet & fleet, const std::string& body) {
+  void SendRequest(Fleet & fleet, const std::string& body) {
     const auto answer = fleet.Request(0, "GET", "/read/1", body);
     CHECK(answer.has_value());
     const bool own = answer->headers.Has("Server-Stamp") && answer->body == "w0:" + body;
-    if (answer->status != 200 || !own) ++strange_answers;
+    if (answer->status != 200 || !own) ++wrong_answers;
   }
 
   // Waits for the next health check; a worker without heartbeats gets them periodically.
@@ -60,15 +60,15 @@
   Fleet fleet({"plain"});
   RepeatingRelay relay(fleet.loop, fleet.nodes[0].worker->endpoint());
   relay.set_policy(Repeat(Exchange::kHealthCheck, Exchange::kRequest));
-  PutRelayBefore(fleet, 0, relay);
+  RouteThroughRelay(fleet, 0, relay);
   fleet.Start();
   fleet.nodes[0].worker->set_heartbeats_cut(true);
   for (int round = 0; round < 6; ++round) {
     AwaitHealthCheck(fleet, relay);
     RunFor(fleet.loop, std::chrono::milliseconds(20));
-    Ask(fleet, std::to_string(round));
+    SendRequest(fleet, std::to_string(round));
   }
-  CHECK_EQUAL(0, strange_answers);
+  CHECK_EQUAL(0, wrong_answers);
   // Requests and health checks share no connection, so no response is duplicated.
   CHECK_EQUAL(0, relay.repeated());
   CHECK(fleet.Log().find("event=health_check_answer_names_request") == std::string::npos);
@@ -80,7 +80,7 @@
   Fleet fleet({"plain"});
   RepeatingRelay relay(fleet.loop, fleet.nodes[0].worker->endpoint());
   relay.set_policy(Repeat(Exchange::kRequest, Exchange::kHealthCheck));
-  PutRelayBefore(fleet, 0, relay);
+  RouteThroughRelay(fleet, 0, relay);
   // Delays health check responses, as if they waited for a slot.
   fleet.nodes[0].worker->set_health_delay([] { return std::chrono::milliseconds(200); });
   fleet.Start();
@@ -95,11 +95,11 @@
     (*timer)->Start(std::chrono::milliseconds(300));
   });
   for (int round = 0; round < 6; ++round) {
-    Ask(fleet, std::to_string(round));
+    SendRequest(fleet, std::to_string(round));
     AwaitHealthCheck(fleet, relay);
     RunFor(fleet.loop, std::chrono::milliseconds(20));
   }
-  CHECK_EQUAL(0, strange_answers);
+  CHECK_EQUAL(0, wrong_answers);
   // Requests and health checks share no connection, so no response is duplicated.
   CHECK_EQUAL(0, relay.repeated());
   CHECK(fleet.Log().find("event=health_check_answer_names_request") == std::string::npos);
@@ -111,7 +111,7 @@
   Fleet fleet({"keyed", "keyed", "plain"});
   RepeatingRelay relay(fleet.loop, fleet.nodes[0].worker->endpoint());
   relay.set_policy(Repeat(Exchange::kGrant, Exchange::kRelease));
-  PutRelayBefore(fleet, 0, relay);
+  RouteThroughRelay(fleet, 0, relay);
   fleet.Start();
   // Requests run on all of the worker's keys for longer than its grants last, and no release is
   // acknowledged before they end.
@@ -144,7 +144,7 @@
 TEST(SecondAnswers, OfAGrantAreNotTakenForThatToAnotherGrant) {
   Fleet fleet({"keyed", "plain"});
   RepeatingRelay relay(fleet.loop, fleet.nodes[0].worker->endpoint());
-  PutRelayBefore(fleet, 0, relay);
+  RouteThroughRelay(fleet, 0, relay);
   fleet.Start();
   relay.set_policy(Repeat(Exchange::kGrant, Exchange::kGrant));
   // Gives the worker a higher fencing token for one key, so that it refuses the next grant.
@@ -163,7 +163,7 @@
 }
 
 // Guards against passing on a success without the worker's Server-Stamp, whatever its origin.
-TEST(SecondAnswers, ASuccessWithoutTheStampIsAFailureInDoubt) {
+TEST(SecondAnswers, ASuccessWithoutAServerStampIsAnsweredWith502) {
   Fleet fleet({"plain"});
   fleet.Start();
   fleet.nodes[0].worker->set_behaviour([](const http::ExchangePtr& exchange) {
@@ -182,7 +182,7 @@
   Fleet fleet({"keyed", "keyed", "plain"});
   RepeatingRelay relay(fleet.loop, fleet.nodes[0].worker->endpoint());
   relay.set_connection_limit(12);
-  PutRelayBefore(fleet, 0, relay);
+  RouteThroughRelay(fleet, 0, relay);
   fleet.Start();
   RunFor(fleet.loop, std::chrono::milliseconds(1000));
   for (int round = 0; round < 20; ++round) {
@@ -198,7 +198,7 @@
 
 // Guards against keys left without a holder because their release needs a new connection, which the
 // draining worker no longer accepts.
-TEST(SecondAnswers, AWorkerThatTakesNoNewConnectionsHandsItsKeysOver) {
+TEST(SecondAnswers, AWorkerThatRefusesNewConnectionsHandsItsKeysOver) {
   Fleet fleet({"keyed", "keyed", "plain"});
   fleet.Start();
   RunFor(fleet.loop, std::chrono::milliseconds(1500));
@@ -219,10 +219,10 @@
 
 // Guards against a grant retried in a busy loop when it is unclear whether it was refused and each
 // connection for the retry is reset at once.
-TEST(SecondAnswers, ARefusalInDoubtIsNotAskedAgainInALoop) {
+TEST(SecondAnswers, AnUncertainRefusalIsNotRetriedInABusyLoop) {
   Fleet fleet({"keyed", "plain"});
   RepeatingRelay relay(fleet.loop, fleet.nodes[0].worker->endpoint());
-  PutRelayBefore(fleet, 0, relay);
+  RouteThroughRelay(fleet, 0, relay);
   fleet.Start();
   RunFor(fleet.loop, std::chrono::milliseconds(1200));
   relay.set_connection_limit(0);
@@ -230,12 +230,12 @@
   fleet.LateOrder(0, "/runshelf/release",
                   R"({"from_revision":60000,"target_version":60000,"fence":900})");
   RunFor(fleet.loop, std::chrono::milliseconds(2000));
-  CHECK(relay.turned_away() > 0);
-  CHECK(relay.turned_away() < 200);
+  CHECK(relay.rejected_connections() > 0);
+  CHECK(relay.rejected_connections() < 200);
 }
 
 // Guards against a request that waits until its deadline after a refusal without an Attempt-Id.
-TEST(SecondAnswers, ARefusalWithoutTheIdIsNotWaitedOut) {
+TEST(SecondAnswers, ARefusalWithoutAnAttemptIdEndsTheRequestAtOnce) {
   Fleet fleet({"plain"});
   fleet.Start();
   CHECK_EQUAL(200, fleet.Request(0, "POST", "/send/1", "x")->status);
