--- a/tests/platform_adapter/simulated_links.cc
+++ b/tests/platform_adapter/simulated_links.cc
@@ -61,11 +61,11 @@
   for (bool queued = true; queued;) {
     queued = false;
     for (const auto& flow : flows_) {
-      if (flow->left == 0 || flow->not_before > now || flow->in_line >= kWindowBytes) continue;
+      if (flow->left == 0 || flow->not_before > now || flow->queued_bytes >= kWindowBytes) continue;
       const size_t bytes = std::min(flow->left, kPacketBytes);
       flow->left -= bytes;
-      flow->in_line += bytes;
-      links_.at(flow->from).up.line.push_back({flow, bytes, now});
+      flow->queued_bytes += bytes;
+      links_.at(flow->from).up.queue.push_back({flow, bytes, now});
       queued = true;
     }
   }
@@ -73,21 +73,21 @@
 }
 
 void SimulatedLinks::PassUp(Link* link, Instant now) {
-  while (link->up.credit > 0 && !link->up.line.empty()) {
-    Packet packet = std::move(link->up.line.front());
-    link->up.line.pop_front();
+  while (link->up.credit > 0 && !link->up.queue.empty()) {
+    Packet packet = std::move(link->up.queue.front());
+    link->up.queue.pop_front();
     link->up.credit -= static_cast<double>(packet.bytes);
     link->sent += packet.bytes;
     link->longest_wait = std::max(link->longest_wait, now - packet.queued_at);
-    packet.flow->in_line -= packet.bytes;
-    links_.at(packet.flow->to).down.line.push_back(std::move(packet));
+    packet.flow->queued_bytes -= packet.bytes;
+    links_.at(packet.flow->to).down.queue.push_back(std::move(packet));
   }
 }
 
 void SimulatedLinks::PassDown(Link* link) {
-  while (link->down.credit > 0 && !link->down.line.empty()) {
-    const Packet packet = std::move(link->down.line.front());
-    link->down.line.pop_front();
+  while (link->down.credit > 0 && !link->down.queue.empty()) {
+    const Packet packet = std::move(link->down.queue.front());
+    link->down.queue.pop_front();
     link->down.credit -= static_cast<double>(packet.bytes);
     if (packet.flow->on_arrival) packet.flow->on_arrival(packet.bytes);
   }
--- a/tests/platform_adapter/simulated_links.h
+++ b/tests/platform_adapter/simulated_links.h
@@ -27,7 +27,7 @@
     std::string from;
     std::string to;
     size_t left = 0;                               // Bytes not queued yet.
-    size_t in_line = 0;                            // Bytes in the sender's uplink queue.
+    size_t queued_bytes = 0;                       // Bytes in the sender's uplink queue.
     Instant not_before{};                          // Earliest time at which bytes are queued.
     std::function<void(size_t bytes)> on_arrival;  // Called for each packet delivered.
   };
@@ -52,7 +52,7 @@
   struct Direction {
     double credit =
         0;  // Bytes that may be sent now; negative after overshooting by part of a packet.
-    std::deque<Packet> line;
+    std::deque<Packet> queue;
   };
   struct Link {
     double bytes_per_second = 0;
