--- a/tests/platform_adapter/sidecar_keys_test.cc
+++ b/tests/platform_adapter/sidecar_keys_test.cc
@@ -58,7 +58,7 @@
 // Guards against a grant for a terminated worker that reaches its successor: grants are sent to an
 // address, and the successor at that address is recognized only by its first heartbeat or health
 // check.
-TEST(SidecarKeys, AGrantMeantForAFormerWorkerDoesNotReachTheNext) {
+TEST(SidecarKeys, AGrantForAFormerWorkerDoesNotReachItsSuccessor) {
   Fleet fleet({"keyed", "other"});
   fleet.Start();
   const uint64_t fence = fleet.nodes[0].worker->Holds(0)->fence;
@@ -80,7 +80,7 @@
 
 // Guards against failed grants retried in a busy loop: each attempt costs a connection, and
 // together they use up the processor of a small machine.
-TEST(SidecarKeys, GrantsThatFailAtOnceAreNotRepeatedInALoop) {
+TEST(SidecarKeys, FailedGrantsAreNotRetriedInABusyLoop) {
   Fleet fleet({"keyed", "other"});
   fleet.Start();
   size_t orders = 0;
@@ -99,7 +99,7 @@
 // The last known shard map stays in force when the stored one cannot be parsed. It is not written
 // back, as it may be older than the map that was overwritten: an owner named by that map would then
 // share its keys with a former owner.
-TEST(SidecarKeys, AShardMapThatCannotBeReadChangesNothingAndIsLogged) {
+TEST(SidecarKeys, AnUnparsableShardMapIsIgnoredAndLogged) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
   const size_t holder = *fleet.HolderOf(0);
@@ -117,7 +117,7 @@
         std::string::npos);
 }
 
-TEST(SidecarKeys, ARecordOfANodeThatCannotBeReadDisturbsNoOther) {
+TEST(SidecarKeys, AnUnparsableNodeRecordDoesNotAffectOtherNodes) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
   for (const char* broken :
@@ -173,7 +173,7 @@
 // Guards against two holders of a key: a grant without a response may reach the worker seconds
 // later, and a former owner accepted its old grant again after the keys had moved to another
 // worker. Found by a fault search (lagesse-mesh, mix 1089251233620).
-TEST(SidecarKeys, AGrantThatIsTakenLateIsRefusedAfterAMove) {
+TEST(SidecarKeys, ADelayedGrantIsRefusedAfterTheKeysMoved) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
   const size_t leaving = *fleet.HolderOf(0);
--- a/tests/platform_adapter/sidecar_test.cc
+++ b/tests/platform_adapter/sidecar_test.cc
@@ -43,7 +43,7 @@
   CHECK_FALSE(answer->headers.Has("Runshelf-Load"));
 }
 
-TEST(Sidecar, WithoutAConfigurationItRefusesAndWithoutARouteItSaysSo) {
+TEST(Sidecar, ItAnswers503WithoutAConfigurationAnd404WithoutARoute) {
   Fleet fleet({"plain"});
   fleet.store.set_fault(FakeStore::Fault::kRefuse);
   fleet.Launch();
@@ -68,7 +68,7 @@
   STRCMP_EQUAL("w1:", fleet.Request(0, "GET", "/read/1", "")->body.c_str());
 }
 
-TEST(Sidecar, AnUnsafeRequestThatMayHaveRunIsNotSentAgain) {
+TEST(Sidecar, ANonIdempotentRequestThatMayHaveRunIsNotRetried) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
   for (size_t node : {0U, 1U}) {
@@ -81,7 +81,7 @@
   CHECK_EQUAL(1, runs);
 }
 
-TEST(Sidecar, ARepeatableRequestThatWasLostIsSentToAnotherWorker) {
+TEST(Sidecar, AnIdempotentRequestIsRetriedOnAnotherWorker) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
   // Fills the retry budget.
@@ -98,7 +98,7 @@
 // Guards against retry amplification: retrying a failed request also repeats the calls that its
 // worker made, so without a tight limit the called services see more retries than the fleet's
 // budget allows.
-TEST(Sidecar, FewRunsThatFailedAreRepeated) {
+TEST(Sidecar, RetriesOfFailedRequestsAreLimited) {
   constexpr size_t kRequests = 60;
   constexpr size_t kMaxRepeated =
       6;  // 0.35 of the retry budget of 0.2 per request, plus the minimum of one node.
@@ -120,7 +120,7 @@
   CHECK(runs <= kRequests + kMaxRepeated);
 }
 
-TEST(Sidecar, ARefusalOfTheWorkerKeepsItsPromise) {
+TEST(Sidecar, ARefusalByTheWorkerIsAnsweredWithRetryAfter) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
   fleet.nodes[0].worker->set_behaviour([](const http::ExchangePtr& exchange) {
@@ -151,7 +151,7 @@
   CHECK(RunUntil(fleet.loop, [&] { return held->size() == kSlots; }));
 }
 
-TEST(Sidecar, AKeyDoesNotBindARequestToOneWorkerOfAServiceThatIsNotDivided) {
+TEST(Sidecar, AShardKeyIsIgnoredForAServiceThatIsNotSharded) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
   fleet.Kill(1);
@@ -177,7 +177,7 @@
 
 // Nested calls take precedence: a call that is refused or late also fails the request that waits
 // for it.
-TEST(Sidecar, CallsOfARunningWorkerComeBeforeNewWork) {
+TEST(Sidecar, NestedCallsTakePrecedenceOverNewRequests) {
   Fleet fleet({"plain", "keyed"});
   fleet.Start();
   std::vector<http::ExchangePtr> held;
@@ -220,7 +220,7 @@
   });
 }
 
-TEST(Sidecar, TheEndOfItsTimeIsAnsweredAndTheWorkerIsToldToStop) {
+TEST(Sidecar, AnExpiredDeadlineIsAnsweredAndCancelsTheWorkersRequest) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
   bool cancelled = false;
@@ -236,7 +236,7 @@
       fleet.loop, [&] { return cancelled; }, std::chrono::milliseconds(400)));
 }
 
-TEST(Sidecar, AClientThatLeavesCancelsTheWorkThroughBothNodes) {
+TEST(Sidecar, AClientDisconnectCancelsTheRequestThroughBothNodes) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
   bool cancelled = false;
@@ -249,7 +249,7 @@
 }
 
 // Sends a request and closes the connection before the node's event loop reads from it.
-static void SendAndLeave(const event::Endpoint& node, const std::string& request) {
+static void SendAndDisconnect(const event::Endpoint& node, const std::string& request) {
   const int client = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address{};
   CHECK_EQUAL(0, uv_ip4_addr(node.ip.c_str(), node.port, &address));
@@ -259,7 +259,7 @@
   close(client);
 }
 
-TEST(Sidecar, ARequestOfAClientThatHasLeftReachesNoWorker) {
+TEST(Sidecar, ARequestOfADisconnectedClientReachesNoWorker) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
   // Opens idle connections at the worker's own node and at another one, so that either could
@@ -269,9 +269,9 @@
   }
   const size_t executed = fleet.nodes[0].worker->executed().size();
   for (size_t node = 0; node < fleet.nodes.size(); ++node) {
-    SendAndLeave(*fleet.nodes[node].settings.outbound,
-                 "GET /read/1 HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: a-" +
-                     std::to_string(node) + "\r\nDeadline-Ms: 2000\r\n\r\n");
+    SendAndDisconnect(*fleet.nodes[node].settings.outbound,
+                      "GET /read/1 HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: a-" +
+                          std::to_string(node) + "\r\nDeadline-Ms: 2000\r\n\r\n");
   }
   // Both the request and the close arrive before the next loop iteration.
   std::this_thread::sleep_for(std::chrono::milliseconds(50));
@@ -279,7 +279,7 @@
   CHECK_EQUAL(executed, fleet.nodes[0].worker->executed().size());
 }
 
-TEST(Sidecar, AnAnswerThatBreaksOffIsNeverPassedOnAsWhole) {
+TEST(Sidecar, ATruncatedResponseIsNeverPassedOnAsComplete) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
   const std::string large(200000, 'x');
@@ -294,7 +294,7 @@
   }
 }
 
-TEST(Sidecar, ALargeAnswerComesWhole) {
+TEST(Sidecar, ALargeResponseArrivesComplete) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
   const std::string large(700000, 'x');
@@ -308,7 +308,7 @@
   CHECK_EQUAL(large.size(), answer->body.size());
 }
 
-TEST(Sidecar, ADrainingWorkerGetsNothingNewAndTheRecordOutlivesTheNode) {
+TEST(Sidecar, ADrainingWorkerGetsNoNewRequestsAlsoAfterANodeRestart) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
   fleet.nodes[0].worker->set_draining(true);
@@ -337,7 +337,7 @@
   CHECK(fleet.store.Find("runshelf/drains/n0") != nullptr);
 }
 
-TEST(Sidecar, AStopFinishesWhatRunsAndHandsTheKeysOver) {
+TEST(Sidecar, AGracefulStopCompletesRequestsAndHandsKeysOver) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
   const size_t leaving = *fleet.HolderOf(0);
@@ -354,21 +354,21 @@
 // Guards against requests cut off at the end of the grace period: when most nodes of a zone stop,
 // clients are still directed to them, and a late request cannot finish in time. Seen on the
 // enlarged hwd-ktm deployment (scale-2).
-TEST(Sidecar, AStoppingNodeRefusesWhatItCouldNotFinish) {
+TEST(Sidecar, AStoppingNodeRefusesRequestsItCannotFinish) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
   std::vector<http::ExchangePtr> held;
   fleet.nodes[0].worker->set_behaviour(
       [&](const http::ExchangePtr& exchange) { held.push_back(exchange); });
   bool stopped = false;
-  http::Headers patient;
-  patient.Add("Deadline-Ms", "1500");
+  http::Headers long_deadline;
+  long_deadline.Add("Deadline-Ms", "1500");
   fleet.nodes[1].sidecar->Stop([&] { stopped = true; });
   RunFor(fleet.loop, std::chrono::milliseconds(2000));
-  const auto early = fleet.Begin(1, "POST", "/send/early", "", patient);
+  const auto early = fleet.Begin(1, "POST", "/send/early", "", long_deadline);
   CHECK(RunUntil(fleet.loop, [&] { return held.size() == 1; }));
   RunFor(fleet.loop, std::chrono::milliseconds(500));
-  const auto late = fleet.Begin(1, "POST", "/send/late", "", patient);
+  const auto late = fleet.Begin(1, "POST", "/send/late", "", long_deadline);
   CHECK(RunUntil(fleet.loop, [&] { return late->over; }));
   CHECK_EQUAL(503, late->answer->status);
   CHECK(late->answer->headers.Has("Retry-After"));
@@ -383,7 +383,7 @@
 // Guards against every node watching the store on its own, at five times the calls, until the
 // leases expire when the feed's leader and standby are lost together. Seen on the enlarged
 // lagesse-mesh deployment (inc-af42).
-TEST(Sidecar, AnotherNodeLeadsTheFeedWhenTheFirstTwoAreLostTogether) {
+TEST(Sidecar, AnotherNodeLeadsTheFeedWhenLeaderAndStandbyFailTogether) {
   Fleet fleet({"other", "other", "plain", "plain", "plain", "plain"});
   fleet.Start();
   std::vector<size_t> line = {0, 1, 2, 3, 4, 5};
@@ -452,7 +452,7 @@
   CHECK(fleet.store.calls("/runshelf/kv-range") - before <= 4);
 }
 
-TEST(Sidecar, AChangeReachesTheOthersWhenTheLeadersAreGone) {
+TEST(Sidecar, AChangeReachesTheOtherNodesWhenTheLeadersFail) {
   Fleet fleet({"other", "other", "plain", "other"});
   fleet.Start();
   RunFor(fleet.loop, std::chrono::milliseconds(1000));
@@ -482,7 +482,7 @@
 
 // Guards against a gap in the feed: the standby notices a stop only after most of a second, and
 // until then every other node would get no changes and read the store itself.
-TEST(Sidecar, ALeaderThatStopsLeadsOnUntilItEnds) {
+TEST(Sidecar, AStoppingFeedLeaderKeepsLeadingUntilItExits) {
   Fleet fleet({"other", "other", "plain", "other"});
   fleet.Start();
   const auto leads = [](const Fleet::Node& node) {
@@ -501,7 +501,7 @@
   CHECK(RunUntil(fleet.loop, [&] { return leaders() == 1; }));
 }
 
-TEST(Sidecar, ItTellsItsOwnFigures) {
+TEST(Sidecar, TheMetricsPageListsTheNodesMetrics) {
   Fleet fleet({"plain", "other"});
   fleet.nodes[1].settings.metrics = event::Endpoint{fleet.nodes[1].settings.ip_address, 29464};
   fleet.Start();
@@ -522,7 +522,7 @@
 
 // Guards against a 404 for a route that exists in a newer configuration that this node knows of but
 // has not received yet.
-TEST(Sidecar, ANodeThatIsBehindDoesNotSayThatARouteIsMissing) {
+TEST(Sidecar, AnOutdatedNodeDoesNotAnswer404ForAnUnknownRoute) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
   CHECK_EQUAL(404, fleet.Request(1, "GET", "/none/1", "")->status);
@@ -540,7 +540,7 @@
   CHECK_EQUAL(200, fleet.Request(1, "GET", "/read/1", "")->status);
 }
 
-TEST(Sidecar, AReloadTakesBoundsOverAndRefusesBrokenSettings) {
+TEST(Sidecar, AReloadAppliesBoundsAndRejectsInvalidSettings) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
   sidecar::Settings changed = fleet.nodes[0].settings;
