--- a/tests/platform_adapter/state_spread.cc
+++ b/tests/platform_adapter/state_spread.cc
@@ -23,18 +23,21 @@
 constexpr size_t kMessageOverheadBytes = 200;
 constexpr double kPercent = 100;
 // Slow-motion factor: simulated durations are multiplied by it, bandwidths divided.
-constexpr double kSlowMotion = 13;
+constexpr double kSlowdownFactor = 13;
 
 Duration Slowed(Duration time) {
-  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(time) * kSlowMotion);
+  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(time) *
+                                              kSlowdownFactor);
 }
 
 Duration Unslowed(Duration time) {
-  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(time) / kSlowMotion);
+  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(time) /
+                                              kSlowdownFactor);
 }
 
 MachineKind Slowed(MachineKind machine) {
-  machine.link_megabits = static_cast<uint32_t>(std::lround(machine.link_megabits / kSlowMotion));
+  machine.link_megabits =
+      static_cast<uint32_t>(std::lround(machine.link_megabits / kSlowdownFactor));
   return machine;
 }
 
@@ -56,12 +59,12 @@
  private:
   struct Side : event::StreamObserver {
     explicit Side(StoreConnection* owner) : connection(owner) {}
-    void OnData(std::string_view data) override { connection->Carry(this, std::string(data)); }
+    void OnData(std::string_view data) override { connection->Forward(this, std::string(data)); }
     void OnEnd(event::StreamEnd) override { connection->Close(); }
     StoreConnection* connection;
   };
 
-  void Carry(const Side* side, std::string data) {
+  void Forward(const Side* side, std::string data) {
     const bool to_node = side == &to_node_;
     std::string& waiting = to_node ? waiting_for_node_ : waiting_for_store_;
     SimulatedLinks::Flow flow;
@@ -178,11 +181,11 @@
     feed_.Start();
   }
   // Runs the action once the node's simulated processor is idle.
-  void DoWhenFree(std::function<void()> action) {
+  void RunWhenIdle(std::function<void()> action) {
     const Duration wait = std::max(Duration(0), busy_until_ - spread_->loop.Now());
     later_.push_back(std::make_unique<event::Timer>(spread_->loop, [this, action] {
       if (busy_until_ > spread_->loop.Now()) {
-        DoWhenFree(action);
+        RunWhenIdle(action);
       } else {
         action();
       }
@@ -201,14 +204,14 @@
   // The value in force at `now`, after the simulated processing time; nullopt when there is none.
   std::optional<std::string> ValueInForce(Instant now) const {
     std::optional<std::string> value;
-    for (const TakenValue& taken : taken_) {
-      if (taken.in_force_at <= now) value = taken.value;
+    for (const AppliedValue& applied : applied_values_) {
+      if (applied.in_force_at <= now) value = applied.value;
     }
     return value;
   }
 
  private:
-  struct TakenValue {
+  struct AppliedValue {
     std::string value;
     Instant in_force_at{};
   };
@@ -247,7 +250,7 @@
     const double seconds =
         static_cast<double>(item.value.size()) * kSecondsPerByte * kPercent / processor_percent_;
     KeepBusy(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds)));
-    taken_.push_back({item.value, busy_until_});
+    applied_values_.push_back({item.value, busy_until_});
   }
 
   StateSpread* spread_;
@@ -263,7 +266,7 @@
   sidecar::StateFeed feed_;
   std::vector<std::unique_ptr<event::Timer>> later_;
   Instant busy_until_{};
-  std::vector<TakenValue> taken_;
+  std::vector<AppliedValue> applied_values_;
 };
 
 void StateSpread::Transport::SendBeacon(const std::string& ip_address, std::string_view beacon) {
@@ -277,7 +280,7 @@
   flow.on_arrival = [receiver, left, text = std::string(beacon)](size_t bytes) {
     *left -= bytes;
     if (*left > 0) return;
-    receiver->DoWhenFree([receiver, text] { receiver->transport().ReceiveBeacon(text); });
+    receiver->RunWhenIdle([receiver, text] { receiver->transport().ReceiveBeacon(text); });
   };
   spread_->links_.Send(std::move(flow));
 }
@@ -331,7 +334,7 @@
       *left -= arrived;
       if (call->callback) call->timer->Start(timeout);
       if (*left > 0) return;
-      node_->DoWhenFree([this, call, answer] { End(call, answer); });
+      node_->RunWhenIdle([this, call, answer] { End(call, answer); });
     };
     call->flow = spread_->links_.Send(std::move(flow));
   };
@@ -344,7 +347,7 @@
   flow.on_arrival = [call, receiver, respond, handler = std::move(handler), left](size_t arrived) {
     *left -= arrived;
     if (*left > 0) return;
-    receiver->DoWhenFree([receiver, respond, handler] { handler(receiver, respond); });
+    receiver->RunWhenIdle([receiver, respond, handler] { handler(receiver, respond); });
   };
   call->flow = spread_->links_.Send(std::move(flow));
 }
@@ -361,7 +364,7 @@
 
 StateSpread::StateSpread()
     : log_file_(std::tmpfile()), log_(loop, fileno(log_file_), sidecar::LogWriterConfig{}) {
-  links_.AddMachine(kStoreMachine, kStoreBytesPerSecond / kSlowMotion);
+  links_.AddMachine(kStoreMachine, kStoreBytesPerSecond / kSlowdownFactor);
 }
 
 StateSpread::~StateSpread() {
@@ -406,7 +409,7 @@
   store.Put(kKey, value);
 }
 
-std::optional<size_t> StateSpread::PlaceOf(const Node& node) const {
+std::optional<size_t> StateSpread::IndexOfValueInForce(const Node& node) const {
   const std::optional<std::string> value = node.ValueInForce(loop.Now());
   const auto found = std::find_if(written_.rbegin(), written_.rend(),
                                   [&](const auto& written) { return value == written.value; });
@@ -417,16 +420,16 @@
 std::vector<std::string> StateSpread::NodesWithoutLatest() const {
   std::vector<std::string> names;
   for (const auto& [name, node] : nodes_) {
-    if (PlaceOf(*node) != written_.size() - 1) names.push_back(name);
+    if (IndexOfValueInForce(*node) != written_.size() - 1) names.push_back(name);
   }
   return names;
 }
 
-void StateSpread::NoteProgress() {
+void StateSpread::RecordProgress() {
   for (size_t place = 0; place < written_.size(); ++place) {
     if (written_[place].took.has_value()) continue;
     const bool everywhere = std::all_of(nodes_.begin(), nodes_.end(), [&](const auto& entry) {
-      return PlaceOf(*entry.second) >= place;
+      return IndexOfValueInForce(*entry.second) >= place;
     });
     if (everywhere) written_[place].took = loop.Now() - written_[place].written_at;
   }
@@ -437,7 +440,7 @@
   event::RunUntil(
       loop,
       [&] {
-        NoteProgress();
+        RecordProgress();
         return written_.back().took.has_value();
       },
       end - loop.Now());
@@ -454,7 +457,7 @@
   return Unslowed(longest);
 }
 
-size_t StateSpread::CopiesGranted(const std::string& node, size_t requests) {
+size_t StateSpread::SnapshotsGranted(const std::string& node, size_t requests) {
   size_t granted = 0;
   for (size_t request = 0; request < requests; ++request) {
     if (nodes_.at(node)->feed().SnapshotFor(kKey).has_value()) ++granted;
--- a/tests/platform_adapter/state_spread.h
+++ b/tests/platform_adapter/state_spread.h
@@ -56,7 +56,7 @@
   Duration LongestWait() const;
   size_t size() const { return nodes_.size(); }
   // Requests a node's snapshot `requests` times at once; returns how many requests it grants.
-  size_t CopiesGranted(const std::string& node, size_t requests);
+  size_t SnapshotsGranted(const std::string& node, size_t requests);
   std::string Log();
 
   event::EventLoop loop;
@@ -75,9 +75,9 @@
 
   Node* NodeAt(const event::Endpoint& inbound) const;
   // Index in written_ of the value in force on a node; nullopt when there is none.
-  std::optional<size_t> PlaceOf(const Node& node) const;
+  std::optional<size_t> IndexOfValueInForce(const Node& node) const;
   // Records the time of each value that has come into force on all nodes.
-  void NoteProgress();
+  void RecordProgress();
 
   SimulatedLinks links_{loop};
   PlatformStoreCodec codec_;
--- a/tests/platform_adapter/state_spread_test.cc
+++ b/tests/platform_adapter/state_spread_test.cc
@@ -66,7 +66,7 @@
 // Guards against a node with a narrow link that has to send a change to its whole zone. This
 // happens when a second change overlaps the transfers of the first one while the zone's nodes with
 // wide links are busy.
-TEST(StateSpread, ChangesInARowReachAZoneWhoseWideReadersAreBusyForAMoment) {
+TEST(StateSpread, SuccessiveChangesReachAZoneWhoseWideReadersAreBusy) {
   AddZone("a", 2, kLeader);
   spread.AddNode("wide-0", "b", kWide);
   spread.AddNode("wide-1", "b", kWide);
@@ -83,11 +83,11 @@
 
 // Guards against a node whose link is saturated for seconds because all its neighbours request its
 // snapshot at once. Neighbours that are refused read the store.
-TEST(StateSpread, ANodeHandsOutNoMoreCopiesThanItsLinkCarriesSoon) {
+TEST(StateSpread, ANodeGrantsOnlyAsManySnapshotsAsItsLinkCarries) {
   AddZone("a", 2, kLeader);
   AddZone("b", 1, kNarrow);
   spread.Write(Routes(4220));
   spread.Start();
-  CHECK_EQUAL(3, spread.CopiesGranted("b-0", 28));
-  CHECK(spread.CopiesGranted("a-0", 28) >= 15);
+  CHECK_EQUAL(3, spread.SnapshotsGranted("b-0", 28));
+  CHECK(spread.SnapshotsGranted("a-0", 28) >= 15);
 }
--- a/tests/platform_adapter/steady_traffic.cc
+++ b/tests/platform_adapter/steady_traffic.cc
@@ -8,7 +8,7 @@
 namespace runshelf::platform_adapter {
 namespace {
 
-constexpr Duration kScriptStep = std::chrono::milliseconds(2);
+constexpr Duration kStepInterval = std::chrono::milliseconds(2);
 // A request holds one slot while its nested call needs another. 24 slots hold all requests of 0.3 s
 // and their calls; with the default of four, concurrent requests deadlock waiting for slots that
 // they hold themselves.
@@ -27,7 +27,7 @@
 
 CallingWorker::CallingWorker(Fleet& fleet, size_t node)
     : fleet_(fleet), node_(node), step_(fleet.loop, [this] { Step(); }) {
-  step_.Start(kScriptStep, /*repeating=*/true);
+  step_.Start(kStepInterval, /*repeating=*/true);
   fleet.nodes[node].worker->set_slots(kSlots);
   fleet.nodes[node].worker->set_behaviour(
       [this](const http::ExchangePtr& exchange) { Begin(exchange); });
