--- a/tests/platform_adapter/table_test.cc
+++ b/tests/platform_adapter/table_test.cc
@@ -55,7 +55,7 @@
 
 TEST_GROUP(PlatformTable){};
 
-TEST(PlatformTable, CellsAreEditedOneByOneAndConflictsAreSeen) {
+TEST(PlatformTable, CellsAreEditedSeparatelyAndConflictsAreDetected) {
   StoreThread thread;
   PlatformStoreCodec codec;
   store::BlockingStore store(codec, thread.endpoint);
@@ -80,7 +80,7 @@
   CHECK(editor.Read()->Lookup("plain", "priority-1") == nullptr);
 }
 
-TEST(PlatformTable, AnEditThatIsTooLargeForATransactionIsRefusedWhole) {
+TEST(PlatformTable, AnEditTooLargeForATransactionIsRefusedEntirely) {
   StoreThread thread;
   PlatformStoreCodec codec;
   store::BlockingStore store(codec, thread.endpoint);
@@ -100,7 +100,7 @@
   CHECK_EQUAL(15, editor.Read()->cells().size());
 }
 
-TEST(PlatformTable, ALimitHoldsAcrossTheFleetAndEndsWithItsCell) {
+TEST(PlatformTable, ALimitAppliesFleetWideUntilItsCellIsRemoved) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
   const std::string key = "runshelf/table/plain/priority-2";
@@ -127,7 +127,7 @@
   }
 }
 
-TEST(PlatformTable, AnEditedWeightGoesBeforeThePriorityOfTheRoute) {
+TEST(PlatformTable, ACellWeightOverridesThePriorityOfTheRoute) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
   std::vector<http::ExchangePtr> held;
