--- a/tests/platform_adapter/sidecar_test.cc
+++ b/tests/platform_adapter/sidecar_test.cc
@@ -100,8 +100,8 @@
 // budget allows.
 TEST(Sidecar, RetriesOfFailedRequestsAreLimited) {
   constexpr size_t kRequests = 60;
-  constexpr size_t kMaxRepeated =
-      6;  // 0.35 of the retry budget of 0.2 per request, plus the minimum of one node.
+  // 0.35 of the retry budget of 0.2 per request, plus the minimum of one node.
+  constexpr size_t kMaxRepeated = 6;
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
   for (size_t node : {0U, 1U}) {
--- a/tests/platform_adapter/simulated_links.h
+++ b/tests/platform_adapter/simulated_links.h
@@ -26,10 +26,11 @@
   struct Flow {
     std::string from;
     std::string to;
-    size_t left = 0;                               // Bytes not queued yet.
-    size_t queued_bytes = 0;                       // Bytes in the sender's uplink queue.
-    Instant not_before{};                          // Earliest time at which bytes are queued.
-    std::function<void(size_t bytes)> on_arrival;  // Called for each packet delivered.
+    size_t left = 0;          // Bytes not queued yet.
+    size_t queued_bytes = 0;  // Bytes in the sender's uplink queue.
+    Instant not_before{};     // Earliest time at which bytes are queued.
+    // Called for each packet delivered.
+    std::function<void(size_t bytes)> on_arrival;
   };
   // Starts the transfer.
   std::shared_ptr<Flow> Send(Flow flow);
@@ -50,8 +51,8 @@
   };
   // One direction of a machine's link.
   struct Direction {
-    double credit =
-        0;  // Bytes that may be sent now; negative after overshooting by part of a packet.
+    // Bytes that may be sent now; negative after overshooting by part of a packet.
+    double credit = 0;
     std::deque<Packet> queue;
   };
   struct Link {
