--- a/tests/platform_adapter/fake_worker.cc
+++ b/tests/platform_adapter/fake_worker.cc
@@ -10,16 +10,16 @@
 
 using nlohmann::json;
 
-// An answer to a heartbeat that comes later is not taken.
+// Timeout of a heartbeat; a later response is ignored.
 constexpr Duration kAnswerWindow = std::chrono::seconds(1);
-// How often the worker looks whether the requests on keys that it lets go have ended.
-constexpr Duration kLetGoPoll = std::chrono::milliseconds(5);
+// Interval at which the worker checks whether the requests on keys being released have finished.
+constexpr Duration kReleasePollInterval = std::chrono::milliseconds(5);
 
 bool Overlaps(const FakeWorker::Grant& grant, uint32_t first, uint32_t last) {
   return grant.first <= last && first <= grant.last;
 }
 
-// The parts of a grant that none of `kept` covers.
+// Returns the subranges of a grant that no grant in `kept` covers.
 std::vector<FakeWorker::Grant> Without(const FakeWorker::Grant& grant,
                                        const std::vector<FakeWorker::Grant>& kept) {
   std::vector<FakeWorker::Grant> parts{grant};
@@ -69,7 +69,7 @@
       server_(loop, [this](const http::ExchangePtr& exchange) { Handle(exchange); }),
       pool_(loop),
       heartbeat_timer_(loop, [this] { SendHeartbeat(); }),
-      let_go_timer_(loop, [this] { FinishLetGo(); }),
+      release_timer_(loop, [this] { FinishReleases(); }),
       late_heartbeat_(loop, [this] { send_late_(); }) {}
 
 int FakeWorker::Listen(uint16_t port) { return server_.Listen({"127.0.0.1", port}); }
@@ -90,13 +90,13 @@
   const Instant made = loop_.Now();
   if (fault == HeartbeatFault::kNotSent) return;
   if (fault != HeartbeatFault::kSentLate) return CallNode(body, made, fault);
-  // One heartbeat at a time: the next one waits for this one's answer.
+  // At most one heartbeat is in flight: the next one waits for the response to this one.
   heartbeat_timer_.Start(kAnswerWindow);
   send_late_ = [this, body, made, fault] { CallNode(body, made, fault); };
   late_heartbeat_.Start(kAnswerWindow * 9 / 10);
 }
 
-// Again with each heartbeat that would be due, until it is acknowledged.
+// Retried at each heartbeat interval until acknowledged.
 void FakeWorker::Deregister() {
   if (leaving_acknowledged_at_.has_value()) return;
   http::RequestHead head;
@@ -138,7 +138,7 @@
   return body.dump();
 }
 
-// Sends a heartbeat that was made at `made`; its answer counts only within the window.
+// Sends a heartbeat that was created at `made`; a response after kAnswerWindow is ignored.
 void FakeWorker::CallNode(const std::string& body, Instant made, HeartbeatFault fault) {
   http::RequestHead head;
   head.method = "POST";
@@ -159,16 +159,16 @@
         if (response->status != 200) return;
         if (leaving && !leaving_acknowledged_at_) leaving_acknowledged_at_ = loop_.Now();
         released_.erase(released_.begin(), released_.begin() + static_cast<long>(released));
-        if (keys_in_heartbeats_) OnLease(response->body, made);
+        if (keys_in_heartbeats_) OnHeartbeatResponse(response->body, made);
         if (fault != HeartbeatFault::kSentTwice) return;
-        // The answer to the second one is heard by nobody.
+        // The response to the duplicate is ignored.
         send_late_ = [this, body, made] { CallNode(body, made, HeartbeatFault::kAnswerLost); };
         late_heartbeat_.Start(Duration(1000));
       });
 }
 
-// The answer to a heartbeat that was sent at `sent` lists all keys that the worker is to hold.
-void FakeWorker::OnLease(const std::string& body, Instant sent) {
+// Handles the response to a heartbeat sent at `sent`, which lists all keys the worker is to hold.
+void FakeWorker::OnHeartbeatResponse(const std::string& body, Instant sent) {
   const json answer = json::parse(body);
   if (!answer.contains("holds") || body.size() > 4096) return;
   const std::vector<Grant> before = std::move(grants_);
@@ -176,36 +176,37 @@
   for (const json& row : answer["holds"]) {
     Grant grant{row[0], row[1], row[2], {}, row[3]};
     grant.until = sent + std::chrono::milliseconds(answer["hold_ms"].get<int64_t>());
-    // The handover stays known where the answer does not repeat it.
+    // Keeps the known handover when the response omits it.
     for (const Grant& old : before) {
       if (grant.handover.empty() && old.fence == grant.fence &&
           Overlaps(old, grant.first, grant.last))
         grant.handover = old.handover;
     }
-    if (TakeRow(grant)) grants_.push_back(grant);
+    if (AcceptGrant(grant)) grants_.push_back(grant);
   }
   for (const Grant& old : before) {
     for (const Grant& left_out : Without(old, grants_)) ending_.push_back(left_out);
   }
-  FinishLetGo();
+  FinishReleases();
 }
 
-void FakeWorker::FinishLetGo() {
-  const size_t told = released_.size();
+void FakeWorker::FinishReleases() {
+  const size_t released_before = released_.size();
   std::erase_if(ending_, [this](const Grant& grant) {
     if (Busy(grant.first, grant.last)) return false;
     released_.push_back(grant);
     return true;
   });
   AnswerReleases();
-  // At most a tenth of a second later the node is told.
-  if (released_.size() > told) {
+  // Reports the released keys to the node within a tenth of a second.
+  if (released_.size() > released_before) {
     heartbeat_timer_.Start(std::min<Duration>(interval_, std::chrono::milliseconds(50)));
   }
-  if (!ending_.empty() || !open_releases_.empty()) let_go_timer_.Start(kLetGoPoll);
+  if (!ending_.empty() || !open_releases_.empty()) release_timer_.Start(kReleasePollInterval);
 }
 
-// An answer may bring the next order on its connection at once, which looks at the releases too.
+// Reentrant: sending a response may synchronously deliver the next grant or release on the same
+// connection, whose handling calls this function again.
 void FakeWorker::AnswerReleases() {
   const auto over = std::stable_partition(
       open_releases_.begin(), open_releases_.end(),
@@ -221,8 +222,8 @@
   }
 }
 
-// False: a higher fence was seen on one of the keys.
-bool FakeWorker::TakeRow(const Grant& grant) {
+// Returns false when a higher fencing token has been seen for one of the keys.
+bool FakeWorker::AcceptGrant(const Grant& grant) {
   for (const Grant& seen : fences_seen_) {
     if (Overlaps(seen, grant.first, grant.last) && seen.fence > grant.fence) {
       ++refused_orders_;
@@ -273,24 +274,24 @@
   }
   const bool late = fault.lateness > Duration(0);
   DoLater(fault.lateness, [this, exchange, answered = fault.answered, late] {
-    CarryOut(exchange, answered, late);
+    ProcessOrder(exchange, answered, late);
   });
 }
 
-void FakeWorker::CarryOut(const http::ExchangePtr& exchange, bool answered, bool late) {
+void FakeWorker::ProcessOrder(const http::ExchangePtr& exchange, bool answered, bool late) {
   const json body = json::parse(exchange->request().body);
   if (exchange->request().head.target == "/runshelf/grant") {
-    const int status = TakeGrant(body, late);
+    const int status = HandleGrant(body, late);
     if (answered) exchange->Respond(status, {}, "");
     return;
   }
-  TakeRelease(body);
+  HandleRelease(body);
   if (!answered) return;
   open_releases_.push_back({exchange, body["from_revision"], body["target_version"]});
-  FinishLetGo();
+  FinishReleases();
 }
 
-int FakeWorker::TakeGrant(const json& body, bool late) {
+int FakeWorker::HandleGrant(const json& body, bool late) {
   Grant grant;
   grant.first = body["from_revision"];
   grant.last = body["target_version"];
@@ -312,7 +313,7 @@
   return 200;
 }
 
-void FakeWorker::TakeRelease(const json& body) {
+void FakeWorker::HandleRelease(const json& body) {
   const uint32_t first = body["from_revision"];
   const uint32_t last = body["target_version"];
   Grant seen;
--- a/tests/platform_adapter/repeating_relay.cc
+++ b/tests/platform_adapter/repeating_relay.cc
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-// One connection of the node, and the one to the worker that belongs to it. A connection carries
-// one exchange at a time, so what the worker says between two requests is one answer.
+// A connection of the node and the corresponding one to the worker. Requests are not pipelined, so
+// all bytes that the worker sends between two requests form one response.
 class RepeatingRelay::Pair {
  public:
   Pair(RepeatingRelay* relay, std::unique_ptr<event::TcpStream> node)
@@ -48,7 +48,7 @@
       node_.stream->Write(data);
       return;
     }
-    // The head of a request comes in one piece, after the answer to the one before it.
+    // A request head arrives in one piece, after the response to the previous request.
     if (!begun_ || !answer_.empty()) Begin(ExchangeOf(data));
     worker_.stream->Write(data);
   }
@@ -60,11 +60,11 @@
     if (!std::exchange(begun_, true) || !relay_->policy_) return;
     if (const auto repetition = relay_->policy_(former, exchange)) {
       ++relay_->repeated_;
-      Say(repetition->after, former_answer);
+      SendCopy(repetition->after, former_answer);
     }
   }
 
-  void Say(Duration after, const std::string& bytes) {
+  void SendCopy(Duration after, const std::string& bytes) {
     if (after <= Duration(0)) return node_.stream->Write(bytes);
     timers_.push_back(std::make_unique<event::Timer>(relay_->loop_, [this, bytes] {
       if (node_.stream != nullptr) node_.stream->Write(bytes);
@@ -79,7 +79,7 @@
   RepeatingRelay* relay_;
   End node_;
   End worker_;
-  std::string answer_;  // To the latest request.
+  std::string answer_;  // Response bytes to the latest request so far.
   Exchange exchange_ = Exchange::kRequest;
   bool begun_ = false;
   std::vector<std::unique_ptr<event::Timer>> timers_;
@@ -90,7 +90,7 @@
       worker_(std::move(worker)),
       listener_(loop, [this](std::unique_ptr<event::TcpStream> stream) {
         if (pairs_.size() >= connection_limit_) {
-          ++turned_away_;
+          ++rejected_connections_;
           return;
         }
         pairs_.push_back(std::make_unique<Pair>(this, std::move(stream)));
--- a/tests/platform_adapter/state_spread.cc
+++ b/tests/platform_adapter/state_spread.cc
@@ -18,29 +18,33 @@
 constexpr const char* kStoreMachine = "store";
 constexpr double kStoreBytesPerSecond = 125e6;
 constexpr double kBytesPerMegabit = 125000;
-// Processor time to take over a changed item, of one whole core.
+// Processor time of a full core to apply a changed item, in seconds per byte.
 constexpr double kSecondsPerByte = 1.0e-7;
 constexpr size_t kMessageOverheadBytes = 200;
 constexpr double kPercent = 100;
-// Time runs slower by this factor.
-constexpr double kSlowMotion = 13;
+// Slow-motion factor: simulated durations are multiplied by it, bandwidths divided.
+constexpr double kSlowdownFactor = 13;
 
 Duration Slowed(Duration time) {
-  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(time) * kSlowMotion);
+  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(time) *
+                                              kSlowdownFactor);
 }
 
 Duration Unslowed(Duration time) {
-  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(time) / kSlowMotion);
+  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(time) /
+                                              kSlowdownFactor);
 }
 
 MachineKind Slowed(MachineKind machine) {
-  machine.link_megabits = static_cast<uint32_t>(std::lround(machine.link_megabits / kSlowMotion));
+  machine.link_megabits =
+      static_cast<uint32_t>(std::lround(machine.link_megabits / kSlowdownFactor));
   return machine;
 }
 
 }  // namespace
 
-// A connection of a node to the store: bytes of answers share the node's link with all others.
+// Forwards a node's connection to the store over the simulated links, so that store responses
+// compete with the node's other traffic for its link.
 class StateSpread::StoreConnection : public std::enable_shared_from_this<StoreConnection> {
  public:
   StoreConnection(StateSpread* spread, std::string node, std::unique_ptr<event::TcpStream> stream)
@@ -55,12 +59,12 @@
  private:
   struct Side : event::StreamObserver {
     explicit Side(StoreConnection* owner) : connection(owner) {}
-    void OnData(std::string_view data) override { connection->Carry(this, std::string(data)); }
+    void OnData(std::string_view data) override { connection->Forward(this, std::string(data)); }
     void OnEnd(event::StreamEnd) override { connection->Close(); }
     StoreConnection* connection;
   };
 
-  void Carry(const Side* side, std::string data) {
+  void Forward(const Side* side, std::string data) {
     const bool to_node = side == &to_node_;
     std::string& waiting = to_node ? waiting_for_node_ : waiting_for_store_;
     SimulatedLinks::Flow flow;
@@ -125,14 +129,14 @@
   struct Call {
     Callback callback;
     std::unique_ptr<event::Timer> timer;
-    std::shared_ptr<SimulatedLinks::Flow> flow;  // Under way now, of either direction.
+    std::shared_ptr<SimulatedLinks::Flow> flow;  // In flight, in either direction.
   };
   using Handler =
       std::function<void(Node* receiver, std::function<void(sidecar::FeedAnswer)> respond)>;
 
   void Begin(const event::Endpoint& to, size_t bytes, Duration timeout, Handler handler,
              Callback callback);
-  // What is still under way leads nowhere.
+  // Abandons the flow: its remaining bytes are not delivered.
   void Forget(std::shared_ptr<SimulatedLinks::Flow>& flow) {
     spread_->links_.Abandon(flow);
     flow.reset();
@@ -142,7 +146,7 @@
   StateSpread* spread_;
   Node* node_;
   std::function<void(std::string_view)> on_beacon_;
-  std::set<std::shared_ptr<Call>> calls_;  // Under way.
+  std::set<std::shared_ptr<Call>> calls_;  // In flight.
 };
 
 class StateSpread::Node {
@@ -176,12 +180,12 @@
     watcher_.Start();
     feed_.Start();
   }
-  // Does it when the processor has nothing else to do.
-  void DoWhenFree(std::function<void()> action) {
+  // Runs the action once the node's simulated processor is idle.
+  void RunWhenIdle(std::function<void()> action) {
     const Duration wait = std::max(Duration(0), busy_until_ - spread_->loop.Now());
     later_.push_back(std::make_unique<event::Timer>(spread_->loop, [this, action] {
       if (busy_until_ > spread_->loop.Now()) {
-        DoWhenFree(action);
+        RunWhenIdle(action);
       } else {
         action();
       }
@@ -197,17 +201,17 @@
   sidecar::StateFeed& feed() { return feed_; }
   Transport& transport() { return *transport_; }
   Instant busy_until() const { return busy_until_; }
-  // The value that was in force at `now`, worked off by then; nullopt: none.
+  // The value in force at `now`, after the simulated processing time; nullopt when there is none.
   std::optional<std::string> ValueInForce(Instant now) const {
     std::optional<std::string> value;
-    for (const TakenValue& taken : taken_) {
-      if (taken.in_force_at <= now) value = taken.value;
+    for (const AppliedValue& applied : applied_values_) {
+      if (applied.in_force_at <= now) value = applied.value;
     }
     return value;
   }
 
  private:
-  struct TakenValue {
+  struct AppliedValue {
     std::string value;
     Instant in_force_at{};
   };
@@ -246,7 +250,7 @@
     const double seconds =
         static_cast<double>(item.value.size()) * kSecondsPerByte * kPercent / processor_percent_;
     KeepBusy(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds)));
-    taken_.push_back({item.value, busy_until_});
+    applied_values_.push_back({item.value, busy_until_});
   }
 
   StateSpread* spread_;
@@ -258,11 +262,11 @@
   store::StoreClient store_;
   sidecar::PeerDirectory peers_;
   store::PrefixWatcher watcher_;
-  Transport* transport_;  // Owned by the feed.
+  Transport* transport_;  // Owned by feed_.
   sidecar::StateFeed feed_;
   std::vector<std::unique_ptr<event::Timer>> later_;
   Instant busy_until_{};
-  std::vector<TakenValue> taken_;
+  std::vector<AppliedValue> applied_values_;
 };
 
 void StateSpread::Transport::SendBeacon(const std::string& ip_address, std::string_view beacon) {
@@ -276,7 +280,7 @@
   flow.on_arrival = [receiver, left, text = std::string(beacon)](size_t bytes) {
     *left -= bytes;
     if (*left > 0) return;
-    receiver->DoWhenFree([receiver, text] { receiver->transport().ReceiveBeacon(text); });
+    receiver->RunWhenIdle([receiver, text] { receiver->transport().ReceiveBeacon(text); });
   };
   spread_->links_.Send(std::move(flow));
 }
@@ -315,7 +319,7 @@
   const std::weak_ptr<Call> begun = call;
   call->timer = std::make_unique<event::Timer>(spread_->loop,
                                                [this, begun] { End(begun.lock(), std::nullopt); });
-  // The call is made when the sender has come to it.
+  // The timeout runs from when the sender's processor is idle and the call is sent.
   call->timer->Start(timeout + std::max(Duration(0), node_->busy_until() - spread_->loop.Now()));
   Node* receiver = spread_->NodeAt(to);
   const auto respond = [this, call, receiver, timeout](const sidecar::FeedAnswer& answer) {
@@ -330,7 +334,7 @@
       *left -= arrived;
       if (call->callback) call->timer->Start(timeout);
       if (*left > 0) return;
-      node_->DoWhenFree([this, call, answer] { End(call, answer); });
+      node_->RunWhenIdle([this, call, answer] { End(call, answer); });
     };
     call->flow = spread_->links_.Send(std::move(flow));
   };
@@ -343,7 +347,7 @@
   flow.on_arrival = [call, receiver, respond, handler = std::move(handler), left](size_t arrived) {
     *left -= arrived;
     if (*left > 0) return;
-    receiver->DoWhenFree([receiver, respond, handler] { handler(receiver, respond); });
+    receiver->RunWhenIdle([receiver, respond, handler] { handler(receiver, respond); });
   };
   call->flow = spread_->links_.Send(std::move(flow));
 }
@@ -360,7 +364,7 @@
 
 StateSpread::StateSpread()
     : log_file_(std::tmpfile()), log_(loop, fileno(log_file_), sidecar::LogWriterConfig{}) {
-  links_.AddMachine(kStoreMachine, kStoreBytesPerSecond / kSlowMotion);
+  links_.AddMachine(kStoreMachine, kStoreBytesPerSecond / kSlowdownFactor);
 }
 
 StateSpread::~StateSpread() {
@@ -405,7 +409,7 @@
   store.Put(kKey, value);
 }
 
-std::optional<size_t> StateSpread::PlaceOf(const Node& node) const {
+std::optional<size_t> StateSpread::IndexOfValueInForce(const Node& node) const {
   const std::optional<std::string> value = node.ValueInForce(loop.Now());
   const auto found = std::find_if(written_.rbegin(), written_.rend(),
                                   [&](const auto& written) { return value == written.value; });
@@ -416,16 +420,16 @@
 std::vector<std::string> StateSpread::NodesWithoutLatest() const {
   std::vector<std::string> names;
   for (const auto& [name, node] : nodes_) {
-    if (PlaceOf(*node) != written_.size() - 1) names.push_back(name);
+    if (IndexOfValueInForce(*node) != written_.size() - 1) names.push_back(name);
   }
   return names;
 }
 
-void StateSpread::NoteProgress() {
+void StateSpread::RecordProgress() {
   for (size_t place = 0; place < written_.size(); ++place) {
     if (written_[place].took.has_value()) continue;
     const bool everywhere = std::all_of(nodes_.begin(), nodes_.end(), [&](const auto& entry) {
-      return PlaceOf(*entry.second) >= place;
+      return IndexOfValueInForce(*entry.second) >= place;
     });
     if (everywhere) written_[place].took = loop.Now() - written_[place].written_at;
   }
@@ -436,7 +440,7 @@
   event::RunUntil(
       loop,
       [&] {
-        NoteProgress();
+        RecordProgress();
         return written_.back().took.has_value();
       },
       end - loop.Now());
@@ -453,7 +457,7 @@
   return Unslowed(longest);
 }
 
-size_t StateSpread::CopiesGranted(const std::string& node, size_t requests) {
+size_t StateSpread::SnapshotsGranted(const std::string& node, size_t requests) {
   size_t granted = 0;
   for (size_t request = 0; request < requests; ++request) {
     if (nodes_.at(node)->feed().SnapshotFor(kKey).has_value()) ++granted;
--- a/tests/platform_adapter/steady_traffic.cc
+++ b/tests/platform_adapter/steady_traffic.cc
@@ -8,10 +8,10 @@
 namespace runshelf::platform_adapter {
 namespace {
 
-constexpr Duration kScriptStep = std::chrono::milliseconds(2);
-// A run holds one slot while its call needs another. With these, all that comes in 0.3 s fits at
-// one worker at once, calls included; with the usual four, runs that come together wait for
-// themselves.
+constexpr Duration kStepInterval = std::chrono::milliseconds(2);
+// A request holds one slot while its nested call needs another. 24 slots hold all requests of 0.3 s
+// and their calls; with the default of four, concurrent requests deadlock waiting for slots that
+// they hold themselves.
 constexpr int kSlots = 24;
 constexpr Duration kRunBeforeCall = std::chrono::milliseconds(30);
 constexpr Duration kCallTime = std::chrono::milliseconds(10);
@@ -27,7 +27,7 @@
 
 CallingWorker::CallingWorker(Fleet& fleet, size_t node)
     : fleet_(fleet), node_(node), step_(fleet.loop, [this] { Step(); }) {
-  step_.Start(kScriptStep, /*repeating=*/true);
+  step_.Start(kStepInterval, /*repeating=*/true);
   fleet.nodes[node].worker->set_slots(kSlots);
   fleet.nodes[node].worker->set_behaviour(
       [this](const http::ExchangePtr& exchange) { Begin(exchange); });
--- a/tests/platform_adapter/table_test.cc
+++ b/tests/platform_adapter/table_test.cc
@@ -1,5 +1,5 @@
-// The operators' table in the platform's store: edited by the editor of runshelfctl, applied by
-// sidecars.
+// Tests of the operators' table in the platform's store: edits by runshelfctl's TableEditor and
+// their effect on sidecars.
 
 #include <CppUTest/TestHarness.h>
 
@@ -18,7 +18,7 @@
 
 namespace {
 
-// A store on a loop and a thread of its own, for tools that block.
+// A fake store with its own thread and event loop, for clients that block.
 class StoreThread {
  public:
   StoreThread() : thread_([this] { Run(); }) {
@@ -55,7 +55,7 @@
 
 TEST_GROUP(PlatformTable){};
 
-TEST(PlatformTable, CellsAreEditedOneByOneAndConflictsAreSeen) {
+TEST(PlatformTable, CellsAreEditedSeparatelyAndConflictsAreDetected) {
   StoreThread thread;
   PlatformStoreCodec codec;
   store::BlockingStore store(codec, thread.endpoint);
@@ -80,7 +80,7 @@
   CHECK(editor.Read()->Lookup("plain", "priority-1") == nullptr);
 }
 
-TEST(PlatformTable, AnEditThatIsTooLargeForATransactionIsRefusedWhole) {
+TEST(PlatformTable, AnEditTooLargeForATransactionIsRefusedEntirely) {
   StoreThread thread;
   PlatformStoreCodec codec;
   store::BlockingStore store(codec, thread.endpoint);
@@ -100,7 +100,7 @@
   CHECK_EQUAL(15, editor.Read()->cells().size());
 }
 
-TEST(PlatformTable, ALimitHoldsAcrossTheFleetAndEndsWithItsCell) {
+TEST(PlatformTable, ALimitAppliesFleetWideUntilItsCellIsRemoved) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
   const std::string key = "runshelf/table/plain/priority-2";
@@ -118,7 +118,7 @@
   CHECK_EQUAL(40, served + limited);
   CHECK(served >= 2);
   CHECK(served <= 8);
-  // Other classes are not bound.
+  // Other caller classes are not limited.
   CHECK_EQUAL(200, fleet.Request(2, "POST", "/send/1", "")->status);
   fleet.store.Remove(key);
   RunFor(fleet.loop, std::chrono::milliseconds(200));
@@ -127,7 +127,7 @@
   }
 }
 
-TEST(PlatformTable, AnEditedWeightGoesBeforeThePriorityOfTheRoute) {
+TEST(PlatformTable, ACellWeightOverridesThePriorityOfTheRoute) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
   std::vector<http::ExchangePtr> held;
