--- a/source/ctl/command.cc
+++ b/source/ctl/command.cc
@@ -214,7 +214,7 @@
 }
 
 // The quarantine is kept by sidecars only.
-Invocation OnPlatformStore(Invocation invocation) {
+Invocation RequirePlatformStore(Invocation invocation) {
   if (invocation.store != StoreKind::kPlatform) {
     throw TCLAP::ArgException("platform is expected", "store");
   }
@@ -224,7 +224,7 @@
 Invocation ParseQuarantineList(const ParseRequest& request) {
   TableOptions options(request.line, request.default_author);
   request.line.Parse(request.arguments);
-  return OnPlatformStore(options.ToInvocation(QuarantineListCommand{}));
+  return RequirePlatformStore(options.ToInvocation(QuarantineListCommand{}));
 }
 
 Invocation ParseQuarantineRelease(const ParseRequest& request) {
@@ -232,7 +232,8 @@
   TCLAP::UnlabeledValueArg<std::string> fingerprint("fingerprint", "As the list shows it", true, "",
                                                     "FINGERPRINT", request.line.tclap);
   request.line.Parse(request.arguments);
-  return OnPlatformStore(options.ToInvocation(QuarantineReleaseCommand{fingerprint.getValue()}));
+  return RequirePlatformStore(
+      options.ToInvocation(QuarantineReleaseCommand{fingerprint.getValue()}));
 }
 
 Invocation ParseStatus(const ParseRequest& request) {
--- a/source/ctl/explain_command.cc
+++ b/source/ctl/explain_command.cc
@@ -29,7 +29,7 @@
   return value.substr(0, value.find(' '));
 }
 
-bool TellsOf(std::string_view line, std::string_view request_id) {
+bool BelongsToRequest(std::string_view line, std::string_view request_id) {
   const auto id = FieldOf(line, kRequestField);
   if (!id.has_value() || !id->starts_with(request_id)) return false;
   return id->size() == request_id.size() || (*id)[request_id.size()] == kCallSeparator;
@@ -51,7 +51,7 @@
       const size_t end = rest.find('\n');
       const std::string_view line = rest.substr(0, end);
       rest.remove_prefix(end == std::string_view::npos ? rest.size() : end + 1);
-      if (!TellsOf(line, request_id)) continue;
+      if (!BelongsToRequest(line, request_id)) continue;
       found.emplace_back(TimeOf(line), fmt::format("{}: {}", log.name, Printable(line)));
     }
   }
--- a/source/ctl/main.cc
+++ b/source/ctl/main.cc
@@ -29,7 +29,7 @@
 }
 
 // An edit takes a condition and a write for each cell, and for its record.
-constexpr size_t kMaxCellsOfPlatformEdit = store::kMaxTransactionEntries / 2 - 1;
+constexpr size_t kMaxCellsPerPlatformEdit = store::kMaxTransactionEntries / 2 - 1;
 
 int RunOnStore(const Invocation& invocation, infrastructure::KeyValueStore& store,
                const table::TableEditorOptions& options, const Streams& streams) {
@@ -39,7 +39,8 @@
   return RunTableCommand(invocation, std::time(nullptr), editor, streams);
 }
 
-int BadAddress(const Invocation& invocation, std::string_view reason, const Streams& streams) {
+int ReportInvalidAddress(const Invocation& invocation, std::string_view reason,
+                         const Streams& streams) {
   streams.err << fmt::format("runshelfctl: --platform {}: {}; give IP:PORT\n",
                              invocation.platform_address, reason);
   return kExitUsage;
@@ -48,7 +49,7 @@
 int RunOnPlatformStore(const Invocation& invocation, const Streams& streams) {
   event::Endpoint endpoint;
   if (!event::Endpoint::Parse(invocation.platform_address, &endpoint)) {
-    return BadAddress(invocation, "no address", streams);
+    return ReportInvalidAddress(invocation, "no address", streams);
   }
   platform_adapter::PlatformStoreCodec codec;
   store::BlockingStore store(codec, endpoint);
@@ -59,7 +60,7 @@
     return RunQuarantineRelease(*release, store, streams);
   }
   table::TableEditorOptions options;
-  options.max_cells_per_edit = kMaxCellsOfPlatformEdit;
+  options.max_cells_per_edit = kMaxCellsPerPlatformEdit;
   return RunOnStore(invocation, store, options, streams);
 }
 
@@ -67,7 +68,7 @@
   const auto store =
       infrastructure::MakeEtcdKeyValueStore(invocation.platform_address, kPlatformTimeout);
   if (!store.ok()) {
-    return BadAddress(invocation, std::string(store.status().message()), streams);
+    return ReportInvalidAddress(invocation, std::string(store.status().message()), streams);
   }
   return RunOnStore(invocation, **store, {}, streams);
 }
--- a/source/ctl/quarantine_commands.cc
+++ b/source/ctl/quarantine_commands.cc
@@ -28,31 +28,32 @@
 }
 
 // Workers that ended under the request.
-absl::StatusOr<std::set<std::string>> WorkersOf(const RequestFingerprint& request,
-                                                KeyValueStore& store) {
+absl::StatusOr<std::set<std::string>> FindWorkersEndedDuring(const RequestFingerprint& request,
+                                                             KeyValueStore& store) {
   const auto range = store.Range(std::string(sidecar::kWorkerEndPrefix));
   if (!range.ok()) return range.status();
   std::set<std::string> workers;
   for (const KeyValue& entry : range->key_values) {
     const auto end = sidecar::WorkerEnd::Parse(entry.value);
     if (!end.has_value()) continue;
-    const bool at_work =
+    const bool was_running =
         std::find(end->requests.begin(), end->requests.end(), request) != end->requests.end();
-    if (at_work) workers.insert(end->worker_id);
+    if (was_running) workers.insert(end->worker_id);
   }
   return workers;
 }
 
-struct StoredQuarantine {
+struct StoredQuarantineItem {
   QuarantineItem item;
   int64_t revision = 0;  // Zero: there is no item.
 };
 
-absl::StatusOr<StoredQuarantine> Read(const RequestFingerprint& request, KeyValueStore& store) {
+absl::StatusOr<StoredQuarantineItem> ReadQuarantineItem(const RequestFingerprint& request,
+                                                        KeyValueStore& store) {
   const std::string key = std::string(sidecar::kQuarantinePrefix) + request.ToString();
   const auto range = store.Range(key);
   if (!range.ok()) return range.status();
-  StoredQuarantine stored;
+  StoredQuarantineItem stored;
   for (const KeyValue& entry : range->key_values) {
     if (entry.key != key) continue;
     stored.revision = entry.mod_revision;
@@ -88,9 +89,9 @@
                command.fingerprint);
     return kExitUsage;
   }
-  auto stored = Read(*request, store);
+  auto stored = ReadQuarantineItem(*request, store);
   if (!stored.ok()) return ReportUnavailable(stored.status(), streams);
-  auto workers = WorkersOf(*request, store);
+  auto workers = FindWorkersEndedDuring(*request, store);
   if (!workers.ok()) return ReportUnavailable(workers.status(), streams);
   if (stored->revision == 0 && workers->empty()) {
     fmt::print(streams.err, "runshelfctl: nothing is held against that request\n");
--- a/source/ctl/table_commands.cc
+++ b/source/ctl/table_commands.cc
@@ -22,7 +22,7 @@
   Streams streams;
 };
 
-int ReportUnreadable(const Context& context, const absl::Status& status) {
+int ReportPlatformReadError(const Context& context, const absl::Status& status) {
   fmt::print(
       context.streams.err,
       "runshelfctl: the platform could not be read, nothing was changed: {}; check --platform and "
@@ -81,7 +81,7 @@
 
 int Run(const Context& context, const ShowCommand&) {
   const absl::StatusOr<table::Table> table = context.editor.Read();
-  if (!table.ok()) return ReportUnreadable(context, table.status());
+  if (!table.ok()) return ReportPlatformReadError(context, table.status());
   std::ostream& out = context.streams.out;
   fmt::print(out, "revision {}, {} cells\n", table->revision(), table->cells().size());
   fmt::print(out, "{:<20} {:<20} {:>8} {:>10} {:>10}  {}\n", "service", "class", "weight", "limit",
@@ -97,7 +97,7 @@
 
 int Run(const Context& context, const SetCommand& command) {
   const absl::StatusOr<table::Table> table = context.editor.Read();
-  if (!table.ok()) return ReportUnreadable(context, table.status());
+  if (!table.ok()) return ReportPlatformReadError(context, table.status());
   const table::Cell* const cell = table->Lookup(command.key.service, command.key.caller_class);
   if (cell == nullptr && !command.weight.has_value()) {
     fmt::print(context.streams.err,
@@ -139,7 +139,7 @@
 
 int Run(const Context& context, const ExportCommand& command) {
   const absl::StatusOr<table::Table> table = context.editor.Read();
-  if (!table.ok()) return ReportUnreadable(context, table.status());
+  if (!table.ok()) return ReportPlatformReadError(context, table.status());
   const std::string text = table::FormatTableCsv(*table);
   if (command.file == kStandardStream) {
     context.streams.out << text;
@@ -164,7 +164,7 @@
 
 int Run(const Context& context, const HistoryCommand& command) {
   const absl::StatusOr<std::vector<table::EditRecord>> history = context.editor.History();
-  if (!history.ok()) return ReportUnreadable(context, history.status());
+  if (!history.ok()) return ReportPlatformReadError(context, history.status());
   bool found = false;
   for (const table::EditRecord& record : *history) {
     if (command.edit_id.has_value() && record.edit_id != *command.edit_id) continue;
--- a/tests/ctl/command_test.cc
+++ b/tests/ctl/command_test.cc
@@ -29,7 +29,7 @@
 
 TEST_GROUP(Command){};
 
-TEST(Command, TheKindOfTheStoreIsChosen) {
+TEST(Command, TheStoreOptionSelectsTheStoreKind) {
   const auto kind = [](const std::vector<std::string>& arguments) {
     return std::get<Invocation>(ParseCommandLine(arguments, "anna")).store;
   };
--- a/tests/ctl/explain_command_test.cc
+++ b/tests/ctl/explain_command_test.cc
@@ -10,7 +10,7 @@
 
 TEST_GROUP(Explain){};
 
-TEST(Explain, TheWayOfARequestIsInOrderOfTimeAcrossNodes) {
+TEST(Explain, LinesOfARequestAreSortedByTimeAcrossNodes) {
   const std::vector<NodeLog> logs = {
       {"a",
        "time=3.5 level=info event=request_refused request=r1 reason=full\n"
@@ -29,7 +29,7 @@
   CHECK(lines[3].starts_with("a: time=3.5"));
 }
 
-TEST(Explain, BrokenLogsAreNoProblem) {
+TEST(Explain, MalformedLogLinesAreTolerated) {
   const std::vector<NodeLog> logs = {{"a", "\n\nrequest=\nrequest=r1\ntime=x request=r1 \x1b[2J"}};
   const auto lines = ExplainRequest("r1", logs);
   CHECK_EQUAL(2, lines.size());
@@ -37,7 +37,7 @@
   CHECK(ExplainRequest("r1", {}).empty());
 }
 
-TEST(Explain, TheCommandReadsFilesAndSaysWhenNothingIsKnown) {
+TEST(Explain, TheCommandReadsFilesAndReportsUnknownRequests) {
   const std::string file = std::tmpnam(nullptr);
   std::ofstream(file) << "time=1 event=request_failed request=r1\n";
   std::ostringstream out;
--- a/tests/ctl/quarantine_commands_test.cc
+++ b/tests/ctl/quarantine_commands_test.cc
@@ -14,8 +14,8 @@
 
 namespace {
 
-const std::string kPrint = "0123456789abcdef0123456789abcdef";
-const std::string kItemKey = "runshelf/quarantine/" + kPrint;
+const std::string kFingerprint = "0123456789abcdef0123456789abcdef";
+const std::string kItemKey = "runshelf/quarantine/" + kFingerprint;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
   }
 
   void PutEnd(const std::string& worker) {
-    const WorkerEnd end{worker, "n1", {*RequestFingerprint::Parse(kPrint)}};
+    const WorkerEnd end{worker, "n1", {*RequestFingerprint::Parse(kFingerprint)}};
     CHECK(store.Commit({}, {{"runshelf/worker-ends/" + worker, end.Serialize(), 0}}).ok());
   }
 
@@ -48,15 +48,15 @@
   }
 };
 
-TEST(QuarantineCommands, TheListNamesTheEvidence) {
+TEST(QuarantineCommands, TheListShowsTrialsAndWorkers) {
   PutItem(/*released=*/false);
   LONGS_EQUAL(kExitOk, RunQuarantineList(store, {out, err}));
-  STRCMP_CONTAINS((kPrint + " trials=2 asks=\"GET h.example/read/7\" workers=w1,w2").c_str(),
+  STRCMP_CONTAINS((kFingerprint + " trials=2 asks=\"GET h.example/read/7\" workers=w1,w2").c_str(),
                   out.str().c_str());
   STRCMP_CONTAINS("1 in quarantine", out.str().c_str());
 }
 
-TEST(QuarantineCommands, WhatIsReleasedOrBrokenIsNotListed) {
+TEST(QuarantineCommands, ReleasedOrMalformedItemsAreNotListed) {
   PutItem(/*released=*/true);
   CHECK(store.Commit({}, {{"runshelf/quarantine/x", "{", 0}}).ok());
   LONGS_EQUAL(kExitOk, RunQuarantineList(store, {out, err}));
@@ -64,15 +64,15 @@
 }
 
 // The third trial's end is in no item of the request yet.
-TEST(QuarantineCommands, AReleaseCoversAllEndsThatAreKnown) {
+TEST(QuarantineCommands, AReleaseCoversAllKnownWorkerEnds) {
   PutItem(/*released=*/false);
   PutEnd("w3");
-  LONGS_EQUAL(kExitOk, Release(kPrint));
+  LONGS_EQUAL(kExitOk, Release(kFingerprint));
   CHECK(Stored().released);
   CHECK((Stored().worker_ids == std::vector<std::string>{"w1", "w2", "w3"}));
 }
 
-TEST(QuarantineCommands, WhatNothingIsHeldAgainstIsNotReleased) {
-  LONGS_EQUAL(kExitRefused, Release(kPrint));
+TEST(QuarantineCommands, RequestsWithoutEvidenceAreNotReleased) {
+  LONGS_EQUAL(kExitRefused, Release(kFingerprint));
   LONGS_EQUAL(kExitUsage, Release("7"));
 }
--- a/tests/ctl/table_commands_test.cc
+++ b/tests/ctl/table_commands_test.cc
@@ -48,7 +48,7 @@
   }
 };
 
-TEST(TableCommands, SetKeepsWhatIsNotGiven) {
+TEST(TableCommands, SetKeepsOmittedFields) {
   LONGS_EQUAL(kExitRefused, Run(SetCommand{{"a", "b"}, std::nullopt, 7, false}));
   STRCMP_CONTAINS("a new cell needs --weight", err.c_str());
   LONGS_EQUAL(kExitOk, Run(SetCommand{{"a", "b"}, 5, 7, false}));
@@ -67,7 +67,7 @@
   STRCMP_CONTAINS("unchanged", out.c_str());
 }
 
-TEST(TableCommands, ABadFileIsRefusedAndNothingChanges) {
+TEST(TableCommands, AnInvalidFileIsRefusedAndNothingChanges) {
   LONGS_EQUAL(kExitRefused, Import("service,class,weight,limit\na,b,5,\na,c,-5,\n"));
   STRCMP_CONTAINS("row 3, column weight", err.c_str());
   LONGS_EQUAL(kExitRefused, Import("service,class,weight,limit\n" + std::string(2U << 20U, 'a')));
@@ -93,7 +93,7 @@
   LONGS_EQUAL(kExitRefused, Run(HistoryCommand{"unknown"}));
 }
 
-TEST(TableCommands, AConflictNamesTheCellAndWhoWon) {
+TEST(TableCommands, AConflictReportsTheCellAndTheWinningAuthor) {
   Run(SetCommand{{"a", "b"}, 1, std::nullopt, false});
   int reads = 0;
   store.before_call = [&](Operation operation) {
