--- a/source/ctl/command.cc
+++ b/source/ctl/command.cc
@@ -49,7 +49,7 @@
   4  undetermined: the edit may be in force, look at `runshelfctl table history`
 )";
 
-// Collects TCLAP's texts in place of printing them.
+// Collects the text that TCLAP would print itself, so that the caller decides where it goes.
 class TextOutput : public TCLAP::StdOutput {
  public:
   void usage(TCLAP::CmdLineInterface& command_line) override {
@@ -69,7 +69,8 @@
   std::string output;
 };
 
-// TCLAP takes either "--name value" or "--name=value"; this makes the second form the first.
+// TCLAP is configured with one delimiter and accepts only "--name value". Splits "--name=value"
+// into two arguments so that both forms work.
 void AppendArgument(const std::string& argument, std::vector<std::string>& arguments) {
   const size_t separator = argument.find('=');
   if (!argument.starts_with("--") || separator == std::string::npos) {
@@ -80,6 +81,7 @@
   arguments.push_back(argument.substr(separator + 1));
 }
 
+// The TCLAP parser of one command, set up to throw and to collect its output.
 struct CommandLine {
   CommandLine(const std::string& name, const std::string& example)
       : tclap(fmt::format("Example: runshelfctl {}", example), ' ', RUNSHELF_VERSION),
@@ -99,7 +101,7 @@
   TextOutput output;
 };
 
-// Options that all table commands share.
+// Options of all commands that access the store: table and quarantine.
 struct TableOptions {
   TableOptions(CommandLine& line, const std::string& default_author)
       : platform("p", "platform", "Address of the platform's key-value service", true, "",
@@ -123,7 +125,7 @@
   TCLAP::ValueArg<std::string> author;
 };
 
-// Positional arguments that name a cell.
+// Positional arguments that identify a cell: service and caller class.
 struct CellArguments {
   explicit CellArguments(CommandLine& line)
       : service("service", "Service, a row of the table", true, "", "SERVICE", line.tclap),
@@ -136,7 +138,7 @@
   TCLAP::UnlabeledValueArg<std::string> caller_class;
 };
 
-// What a parser of one command gets.
+// Input of the parser of one command.
 struct ParseRequest {
   CommandLine& line;
   const std::vector<std::string>& arguments;
@@ -163,10 +165,11 @@
   if (weight.isSet()) command.weight = weight.getValue();
   if (limit.isSet()) command.limit = limit.getValue();
   if (limit.isSet() && no_limit.isSet()) {
-    throw TCLAP::CmdLineParseException("--limit and --no-limit exclude each other");
+    throw TCLAP::CmdLineParseException("--limit and --no-limit are mutually exclusive");
   }
   if (!weight.isSet() && !limit.isSet() && !no_limit.isSet()) {
-    throw TCLAP::CmdLineParseException("give --weight, --limit or --no-limit");
+    throw TCLAP::CmdLineParseException(
+        "at least one of --weight, --limit and --no-limit is required");
   }
   return options.ToInvocation(command);
 }
@@ -213,7 +216,7 @@
   return options.ToInvocation(command);
 }
 
-// The quarantine is kept by sidecars only.
+// Rejects `--store etcd`: only fleets of sidecars have a quarantine, in the platform's store.
 Invocation RequirePlatformStore(Invocation invocation) {
   if (invocation.store != StoreKind::kPlatform) {
     throw TCLAP::ArgException("platform is expected", "store");
@@ -253,11 +256,13 @@
           request.default_author};
 }
 
+// `example` is shown in the command's help.
 struct CommandParser {
   std::string example;
   std::function<Invocation(const ParseRequest&)> parse;
 };
 
+// The parsers by command name.
 const std::map<std::string, CommandParser>& CommandParsers() {
   static const auto* const parsers = new std::map<std::string, CommandParser>{
       {"table show", {"table show --platform 127.0.0.1:2379", ParseShow}},
@@ -323,7 +328,7 @@
   }
   const auto parser = CommandParsers().find(name);
   if (parser == CommandParsers().end()) {
-    return UsageError(fmt::format("there is no command '{}'", name));
+    return UsageError(fmt::format("unknown command '{}'", name));
   }
   const std::vector<std::string> rest(arguments.begin() + static_cast<std::ptrdiff_t>(name_length),
                                       arguments.end());
--- a/source/ctl/command.h
+++ b/source/ctl/command.h
@@ -1,4 +1,4 @@
-// The commands of runshelfctl as typed values, and their parsing from the command line.
+// The commands of runshelfctl as typed values, and the parser of the command line.
 #pragma once
 
 #include <cstdint>
@@ -11,21 +11,22 @@
 
 namespace runshelf::ctl {
 
-// Exit codes; documented by --help.
+// Exit codes, documented in the output of --help.
 constexpr int kExitOk = 0;
-constexpr int kExitRefused = 1;       // The edit was refused or met a conflict; nothing changed.
-constexpr int kExitUsage = 2;         // The command line is wrong.
-constexpr int kExitUnavailable = 3;   // The platform or the daemon is away; nothing changed.
-constexpr int kExitUndetermined = 4;  // The edit may be in force.
+constexpr int kExitRefused = 1;       // Refused or in conflict with another edit; nothing changed.
+constexpr int kExitUsage = 2;         // Invalid command line.
+constexpr int kExitUnavailable = 3;   // Platform or daemon unavailable; nothing changed.
+constexpr int kExitUndetermined = 4;  // Outcome unknown: the edit may be in force.
 
 struct ShowCommand {};
 
-// Sets what is given; of an existing cell the rest stays.
+// Sets the given fields of a cell. The omitted fields of an existing cell keep their values; a new
+// cell needs a weight.
 struct SetCommand {
   table::CellKey key;
   std::optional<int64_t> weight;
   std::optional<int64_t> limit;
-  bool no_limit = false;
+  bool no_limit = false;  // Removes the limit; not together with `limit`.
 };
 
 struct DeleteCommand {
@@ -34,7 +35,7 @@
 
 struct ImportCommand {
   std::string file;                      // "-" for standard input.
-  std::optional<std::string> base_file;  // The table as exported before the changes.
+  std::optional<std::string> base_file;  // The exported table that `file` was edited from.
 };
 
 struct ExportCommand {
@@ -42,48 +43,51 @@
 };
 
 struct HistoryCommand {
-  std::optional<std::string> edit_id;  // Only this edit.
+  std::optional<std::string> edit_id;  // Shows only this edit; all edits if empty.
 };
 
 struct StatusCommand {
-  std::string daemon_address;  // IP number and port of a daemon's http_address.
+  std::string daemon_address;  // IP:PORT, the http_address of any daemon.
 };
 
 struct ExplainCommand {
   std::string request_id;
-  std::vector<std::string> files;  // Logs of nodes.
+  std::vector<std::string> files;  // Names of node log files.
 };
 
 struct QuarantineListCommand {};
 
 struct QuarantineReleaseCommand {
-  std::string fingerprint;  // Of the request.
+  std::string fingerprint;  // Of the request, as listed by `quarantine list`.
 };
 
 using Command = std::variant<ShowCommand, SetCommand, DeleteCommand, ImportCommand, ExportCommand,
                              HistoryCommand, StatusCommand, ExplainCommand, QuarantineListCommand,
                              QuarantineReleaseCommand>;
 
-// The key-value service that holds the table.
+// The key-value service that stores the table.
 enum class StoreKind {
-  kEtcd,      // Of fleets that runshelfd serves.
-  kPlatform,  // Of fleets that sidecars serve.
+  kEtcd,      // Used by fleets of runshelfd daemons.
+  kPlatform,  // Used by fleets of sidecars.
 };
 
+// A parsed command line.
 struct Invocation {
   Command command;
-  std::string platform_address;  // IP number and port; empty for status.
+  std::string platform_address;  // IP:PORT; empty for status and explain.
   StoreKind store = StoreKind::kEtcd;
-  std::string author;
+  std::string author;  // Recorded in the history as the author of an edit.
 };
 
-// The command line could not be turned into an Invocation, or asked for a text only.
+// The result of a command line that runs no command: it is invalid, or requests help or the
+// version.
 struct ParseExit {
   int exit_code = kExitUsage;
   std::string output;  // For standard output, or for standard error when exit_code is not kExitOk.
 };
 
-// Parses the arguments after the program's name.
+// Parses the arguments that follow the program name. `default_author` applies without --author.
+// Returns a ParseExit with kExitUsage if the command line is invalid.
 std::variant<Invocation, ParseExit> ParseCommandLine(const std::vector<std::string>& arguments,
                                                      const std::string& default_author);
 
--- a/source/ctl/explain_command.cc
+++ b/source/ctl/explain_command.cc
@@ -12,13 +12,15 @@
 namespace runshelf::ctl {
 namespace {
 
+// At most this many bytes of each log file are read; the rest is ignored.
 constexpr size_t kMaxLogBytes = size_t{128} << 20U;
 constexpr std::string_view kRequestField = "request=";
 constexpr std::string_view kTimeField = "time=";
-// Between the id of a request and what is added for a call that belongs to it.
+// Separates the id of a request from the suffix that identifies a call made by it.
 constexpr char kCallSeparator = '.';
 
-// The value of a field of a log line; nullopt when the line has no such field.
+// Returns the value of a field of a log line, or nullopt if the line has no such field. `name`
+// includes the "=".
 std::optional<std::string_view> FieldOf(std::string_view line, std::string_view name) {
   size_t position = line.find(name);
   while (position != std::string_view::npos && position > 0 && line[position - 1] != ' ') {
@@ -29,12 +31,14 @@
   return value.substr(0, value.find(' '));
 }
 
+// Whether the line's request field holds the id of the request or of a call made by it.
 bool BelongsToRequest(std::string_view line, std::string_view request_id) {
   const auto id = FieldOf(line, kRequestField);
   if (!id.has_value() || !id->starts_with(request_id)) return false;
   return id->size() == request_id.size() || (*id)[request_id.size()] == kCallSeparator;
 }
 
+// Returns 0 if the line has no time field or the field is not a number.
 double TimeOf(std::string_view line) {
   const auto time = FieldOf(line, kTimeField);
   return time.has_value() ? std::strtod(std::string(*time).c_str(), nullptr) : 0;
@@ -77,7 +81,7 @@
   const std::vector<std::string> lines = ExplainRequest(command.request_id, logs);
   for (const std::string& line : lines) streams.out << line << '\n';
   if (!lines.empty()) return kExitOk;
-  streams.err << fmt::format("runshelfctl: no line tells of {}\n", command.request_id);
+  streams.err << fmt::format("runshelfctl: no log line has request id {}\n", command.request_id);
   return kExitRefused;
 }
 
--- a/source/ctl/explain_command.h
+++ b/source/ctl/explain_command.h
@@ -1,4 +1,5 @@
-// The explain command of runshelfctl: the way of one request through the logs of several nodes.
+// The explain command of runshelfctl: collects the log lines of one request from the logs of
+// several nodes, in order of time.
 #pragma once
 
 #include <string>
@@ -9,19 +10,20 @@
 
 namespace runshelf::ctl {
 
-// One log of one node.
+// The log of one node.
 struct NodeLog {
-  std::string name;  // Of the file.
+  std::string name;  // File name.
   std::string text;  // Lines of key=value pairs.
 };
 
-// Returns the lines that tell of the request, or of calls that a worker made while it ran it, in
-// order of their `time` fields, each after the name of its log. Lines without a readable time come
-// first. Times of different machines are compared as they are.
+// Returns the log lines of the request and of the calls that a worker made while running it, each
+// prefixed with the name of its log and sorted by the `time` field. Lines whose time is missing or
+// malformed come first. Clock differences between machines are not corrected.
 std::vector<std::string> ExplainRequest(std::string_view request_id,
                                         const std::vector<NodeLog>& logs);
 
-// Returns the exit code: kExitRefused when no line tells of the request.
+// Prints the lines and returns the exit code: kExitRefused if no line belongs to the request,
+// kExitUsage if a log cannot be read.
 int RunExplainCommand(const ExplainCommand& command, const Streams& streams);
 
 }  // namespace runshelf::ctl
--- a/source/ctl/files.cc
+++ b/source/ctl/files.cc
@@ -10,7 +10,7 @@
 absl::StatusOr<std::string> ReadStream(std::istream& stream, size_t max_size) {
   std::string text(max_size, '\0');
   stream.read(text.data(), static_cast<std::streamsize>(max_size));
-  if (stream.bad()) return absl::DataLossError("reading failed");
+  if (stream.bad()) return absl::DataLossError("read error");
   text.resize(static_cast<size_t>(stream.gcount()));
   return text;
 }
@@ -29,7 +29,7 @@
   if (!stream) return absl::PermissionDeniedError("the file cannot be opened for writing");
   stream << text;
   stream.close();
-  if (!stream) return absl::DataLossError("writing failed");
+  if (!stream) return absl::DataLossError("write error");
   return absl::OkStatus();
 }
 
--- a/source/ctl/files.h
+++ b/source/ctl/files.h
@@ -1,4 +1,4 @@
-// Files and standard streams as runshelfctl reads and writes them.
+// File access for runshelfctl, with standard input and output as special cases.
 #pragma once
 
 #include <absl/status/status.h>
@@ -9,17 +9,19 @@
 
 namespace runshelf::ctl {
 
-// Stands for standard input or output in place of a file name.
+// File name that denotes standard input or standard output.
 inline constexpr std::string_view kStandardStream = "-";
 
-// Returns at most `max_size` bytes of the file. kNotFound when it cannot be opened, kDataLoss when
-// reading fails.
+// Returns the first `max_size` bytes of the file, or of standard input for kStandardStream. Returns
+// kNotFound if the file cannot be opened and kDataLoss if reading fails.
 absl::StatusOr<std::string> ReadFile(const std::string& file, size_t max_size);
 
-// Replaces the file. kPermissionDenied when it cannot be opened, kDataLoss when writing fails.
+// Replaces the contents of the file. Returns kPermissionDenied if it cannot be opened and kDataLoss
+// if writing fails.
 absl::Status WriteFile(const std::string& file, std::string_view text);
 
-// Returns `text` with control characters replaced, so that it cannot disturb a terminal.
+// Returns `text` with each ASCII control character replaced by "?", so that untrusted text cannot
+// send escape sequences to the terminal.
 std::string Printable(std::string_view text);
 
 }  // namespace runshelf::ctl
--- a/source/ctl/main.cc
+++ b/source/ctl/main.cc
@@ -1,4 +1,4 @@
-// runshelfctl: edits the operators' table and shows the state of the fleet.
+// runshelfctl: command-line tool that edits the operators' table and shows the state of the fleet.
 
 #include <fmt/format.h>
 
@@ -28,7 +28,7 @@
   return user == nullptr ? "unknown" : user;
 }
 
-// An edit takes a condition and a write for each cell, and for its record.
+// A transaction of an edit contains a condition and a write for each cell and for the edit record.
 constexpr size_t kMaxCellsPerPlatformEdit = store::kMaxTransactionEntries / 2 - 1;
 
 int RunOnStore(const Invocation& invocation, infrastructure::KeyValueStore& store,
@@ -41,7 +41,7 @@
 
 int ReportInvalidAddress(const Invocation& invocation, std::string_view reason,
                          const Streams& streams) {
-  streams.err << fmt::format("runshelfctl: --platform {}: {}; give IP:PORT\n",
+  streams.err << fmt::format("runshelfctl: --platform {}: {}; expected IP:PORT\n",
                              invocation.platform_address, reason);
   return kExitUsage;
 }
@@ -49,7 +49,7 @@
 int RunOnPlatformStore(const Invocation& invocation, const Streams& streams) {
   event::Endpoint endpoint;
   if (!event::Endpoint::Parse(invocation.platform_address, &endpoint)) {
-    return ReportInvalidAddress(invocation, "no address", streams);
+    return ReportInvalidAddress(invocation, "invalid address", streams);
   }
   platform_adapter::PlatformStoreCodec codec;
   store::BlockingStore store(codec, endpoint);
--- a/source/ctl/quarantine_commands.cc
+++ b/source/ctl/quarantine_commands.cc
@@ -16,7 +16,7 @@
 using sidecar::QuarantineItem;
 using sidecar::RequestFingerprint;
 
-// As long as the nodes keep such an item.
+// The lifetime of quarantine items that nodes write, the longest lease that the store grants.
 constexpr Duration kItemLifetime = std::chrono::minutes(10);
 
 int ReportUnavailable(const absl::Status& status, const Streams& streams) {
@@ -27,7 +27,7 @@
   return kExitUnavailable;
 }
 
-// Workers that ended under the request.
+// Returns the ids of workers that terminated while running the request.
 absl::StatusOr<std::set<std::string>> FindWorkersEndedDuring(const RequestFingerprint& request,
                                                              KeyValueStore& store) {
   const auto range = store.Range(std::string(sidecar::kWorkerEndPrefix));
@@ -43,9 +43,10 @@
   return workers;
 }
 
+// A quarantine item with its revision in the store.
 struct StoredQuarantineItem {
   QuarantineItem item;
-  int64_t revision = 0;  // Zero: there is no item.
+  int64_t revision = 0;  // 0 if the store has no item.
 };
 
 absl::StatusOr<StoredQuarantineItem> ReadQuarantineItem(const RequestFingerprint& request,
@@ -85,7 +86,7 @@
   const auto request = RequestFingerprint::Parse(command.fingerprint);
   if (!request.has_value()) {
     fmt::print(streams.err,
-               "runshelfctl: '{}' is no fingerprint; see runshelfctl quarantine list\n",
+               "runshelfctl: '{}' is not a fingerprint; see runshelfctl quarantine list\n",
                command.fingerprint);
     return kExitUsage;
   }
@@ -94,7 +95,9 @@
   auto workers = FindWorkersEndedDuring(*request, store);
   if (!workers.ok()) return ReportUnavailable(workers.status(), streams);
   if (stored->revision == 0 && workers->empty()) {
-    fmt::print(streams.err, "runshelfctl: nothing is held against that request\n");
+    fmt::print(streams.err,
+               "runshelfctl: the request is not in quarantine and no worker termination is "
+               "recorded for it\n");
     return kExitRefused;
   }
   workers->insert(stored->item.worker_ids.begin(), stored->item.worker_ids.end());
@@ -107,11 +110,16 @@
       store.Commit({{key, stored->revision}}, {{key, stored->item.Serialize(), *lease}});
   if (!result.ok()) {
     if (!absl::IsUnknown(result.status())) return ReportUnavailable(result.status(), streams);
-    fmt::print(streams.err, "runshelfctl: the answer was lost; see runshelfctl quarantine list\n");
+    fmt::print(streams.err,
+               "runshelfctl: undetermined: the store's response was lost; see "
+               "runshelfctl quarantine list\n");
     return kExitUndetermined;
   }
   if (!result->succeeded) {
-    fmt::print(streams.err, "runshelfctl: a trial of the request began just now; try again\n");
+    fmt::print(
+        streams.err,
+        "runshelfctl: the quarantine item was changed concurrently, possibly by a trial run; "
+        "nothing was changed, try again\n");
     return kExitRefused;
   }
   fmt::print(streams.out, "released {} revision={}\n", request->ToString(), result->revision);
--- a/source/ctl/quarantine_commands.h
+++ b/source/ctl/quarantine_commands.h
@@ -1,4 +1,5 @@
-// runshelfctl quarantine: requests that sidecars keep from their workers, with the evidence.
+// The quarantine commands of runshelfctl: list and release requests that sidecars do not pass to
+// workers because workers repeatedly terminated while running them.
 #pragma once
 
 #include "runshelf/infrastructure/key_value_store.h"
@@ -7,10 +8,12 @@
 
 namespace runshelf::ctl {
 
-// Prints the requests in quarantine: what they ask, the trials made, the workers that ended.
+// Prints each quarantined request: its fingerprint, the number of trial runs, its method, host and
+// path, and the workers that terminated while running it. Returns the exit code.
 int RunQuarantineList(infrastructure::KeyValueStore& store, const Streams& streams);
 
-// Releases one: the ends that are known so far are not held against it any more.
+// Releases a request from quarantine. The worker terminations known so far no longer count against
+// it. Returns the exit code.
 int RunQuarantineRelease(const QuarantineReleaseCommand& command,
                          infrastructure::KeyValueStore& store, const Streams& streams);
 
--- a/source/ctl/status_command.cc
+++ b/source/ctl/status_command.cc
@@ -18,10 +18,12 @@
 namespace runshelf::ctl {
 namespace {
 
+// Limit for each network operation of the request.
 constexpr int kTimeoutSeconds = 5;
 constexpr size_t kMaxStatusSize = size_t{16} << 20U;
+// Bounds the recursion; values nested deeper are printed as "none".
 constexpr int kMaxDepth = 32;
-constexpr int kIndentWidth = 2;
+constexpr int kIndentWidth = 2;  // Spaces for each level.
 
 bool IsNested(const nlohmann::json& value) { return value.is_structured() && !value.empty(); }
 
@@ -32,7 +34,7 @@
   return value.dump();
 }
 
-// Whether `value` is an array of plain values, which fit in one line.
+// Whether `value` is an array without nested values, which is printed on one line.
 bool IsPlainArray(const nlohmann::json& value) {
   return value.is_array() && std::none_of(value.begin(), value.end(), IsNested);
 }
@@ -74,7 +76,7 @@
   std::array<char, 4096> buffer{};
   while (stream.read(buffer.data(), buffer.size()) || stream.gcount() > 0) {
     body.append(buffer.data(), static_cast<size_t>(stream.gcount()));
-    if (body.size() > kMaxStatusSize) return absl::UnavailableError("the answer is too long");
+    if (body.size() > kMaxStatusSize) return absl::UnavailableError("the response exceeds 16 MiB");
   }
   return body;
 }
@@ -83,7 +85,7 @@
 
 absl::StatusOr<std::string> FormatStatus(std::string_view json) {
   const nlohmann::json status = nlohmann::json::parse(json, nullptr, false);
-  if (!status.is_object()) return absl::InvalidArgumentError("the answer is not a JSON object");
+  if (!status.is_object()) return absl::InvalidArgumentError("the response is not a JSON object");
   std::string text;
   AppendValue(status, 0, text);
   return text;
@@ -99,8 +101,8 @@
     Poco::Net::HTTPResponse response;
     std::istream& body = session.receiveResponse(response);
     if (response.getStatus() != Poco::Net::HTTPResponse::HTTP_OK) {
-      return absl::UnavailableError(
-          fmt::format("the daemon answered {}", static_cast<int>(response.getStatus())));
+      return absl::UnavailableError(fmt::format("the daemon returned HTTP status {}",
+                                                static_cast<int>(response.getStatus())));
     }
     return ReadBody(body);
   } catch (const Poco::Exception& exception) {
@@ -115,7 +117,8 @@
     streams.out << *text;
     return kExitOk;
   }
-  fmt::print(streams.err, "runshelfctl: no status from {}: {}; try --daemon with another daemon\n",
+  fmt::print(streams.err,
+             "runshelfctl: cannot get status from {}: {}; try another daemon with --daemon\n",
              command.daemon_address, std::string(text.status().message()));
   return kExitUnavailable;
 }
--- a/source/ctl/status_command.h
+++ b/source/ctl/status_command.h
@@ -1,4 +1,4 @@
-// The status command of runshelfctl: asks one daemon for its view of the fleet and prints it.
+// The status command of runshelfctl: fetches one daemon's view of the fleet and prints it.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -10,14 +10,17 @@
 
 namespace runshelf::ctl {
 
-// Returns the daemon's JSON status as indented "name: value" lines. kInvalidArgument when `json`
-// is not a JSON object.
+// Formats the daemon's JSON status as indented "name: value" lines. Returns kInvalidArgument if
+// `json` is not a JSON object.
 absl::StatusOr<std::string> FormatStatus(std::string_view json);
 
-// GETs http://<address>/status. kUnavailable when the daemon does not answer with 200.
+// Sends GET http://<address>/status and returns the response body. Returns kUnavailable if the
+// address is invalid, the connection fails or times out, the status is not 200, or the body exceeds
+// 16 MiB.
 absl::StatusOr<std::string> FetchStatus(const std::string& address);
 
-// Returns the exit code.
+// Prints the status of the daemon. Returns kExitOk, or kExitUnavailable if there is no valid
+// response.
 int RunStatusCommand(const StatusCommand& command, const Streams& streams);
 
 }  // namespace runshelf::ctl
--- a/source/ctl/table_commands.cc
+++ b/source/ctl/table_commands.cc
@@ -15,7 +15,7 @@
 using table::EditOutcome;
 using table::EditResult;
 
-// The state that all commands share while one of them runs.
+// Arguments common to all table commands.
 struct Context {
   table::TableEditor& editor;
   table::EditOrigin origin;
@@ -101,7 +101,7 @@
   const table::Cell* const cell = table->Lookup(command.key.service, command.key.caller_class);
   if (cell == nullptr && !command.weight.has_value()) {
     fmt::print(context.streams.err,
-               "runshelfctl: refused: there is no cell {} yet; a new cell needs --weight\n",
+               "runshelfctl: refused: cell {} does not exist; a new cell needs --weight\n",
                command.key.ToString());
     return kExitRefused;
   }
@@ -109,7 +109,8 @@
   value.weight = command.weight.value_or(value.weight);
   if (command.limit.has_value()) value.limit = command.limit;
   if (command.no_limit) value.limit.reset();
-  // What was not given comes from the cell as read, so the edit depends on it.
+  // Omitted fields are copied from the cell as read, so the edit must fail if the cell has changed
+  // since.
   std::optional<int64_t> expected_revision;
   if (cell != nullptr) expected_revision = cell->mod_revision;
   return ReportEdit(context,
@@ -178,6 +179,7 @@
   return kExitRefused;
 }
 
+// The remaining commands do not use the table; the program dispatches them elsewhere.
 int Run(const Context&, const StatusCommand&) { return kExitUsage; }
 
 int Run(const Context&, const ExplainCommand&) { return kExitUsage; }
--- a/source/ctl/table_commands.h
+++ b/source/ctl/table_commands.h
@@ -1,4 +1,4 @@
-// What the table commands of runshelfctl do, apart from the process around them.
+// The table commands of runshelfctl, independent of the process, its clock and its streams.
 #pragma once
 
 #include <ostream>
@@ -8,14 +8,14 @@
 
 namespace runshelf::ctl {
 
-// Where a command writes: results to `out`, and what went wrong and what to do to `err`.
+// Output streams of a command: results go to `out`, error messages to `err`.
 struct Streams {
   std::ostream& out;
   std::ostream& err;
 };
 
-// Carries out a table command and returns the exit code. kExitUsage for commands that need no
-// table.
+// Runs a table command and returns the exit code, kExitUsage for commands that do not use the
+// table. `unix_seconds` is the time recorded with an edit, in seconds since the Unix epoch.
 int RunTableCommand(const Invocation& invocation, int64_t unix_seconds, table::TableEditor& editor,
                     const Streams& streams);
 
--- a/tests/ctl/command_test.cc
+++ b/tests/ctl/command_test.cc
@@ -4,18 +4,20 @@
 
 #include "source/ctl/status_command.h"
 
-using namespace runshelf::ctl;  // NOLINT: the tests name nearly all of it.
+using namespace runshelf::ctl;  // NOLINT: the tests use most of its names.
 
 namespace {
 
 const std::string kPlatform = "--platform=127.0.0.1:2379";
 
+// Returns the ParseExit of an invalid or informational command line, exit code -1 if it parses.
 ParseExit ExitOf(const std::vector<std::string>& arguments) {
   const auto parsed = ParseCommandLine(arguments, "anna");
   const auto* const parse_exit = std::get_if<ParseExit>(&parsed);
   return parse_exit == nullptr ? ParseExit{-1, "parsed"} : *parse_exit;
 }
 
+// Parses a command line that must be valid and returns its command.
 template <typename Wanted>
 Wanted CommandOf(const std::vector<std::string>& arguments) {
   const auto parsed = ParseCommandLine(arguments, "anna");
@@ -110,6 +112,7 @@
                text->c_str());
   CHECK_FALSE(FormatStatus("[]").ok());
   CHECK_FALSE(FormatStatus("{").ok());
+  // Nesting beyond the depth limit must not overflow the stack.
   const std::string deep = "{\"a\":" + std::string(1000, '[') + std::string(1000, ']') + "}";
   CHECK(FormatStatus(deep).ok());
 }
--- a/tests/ctl/explain_command_test.cc
+++ b/tests/ctl/explain_command_test.cc
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <sstream>
 
-using namespace runshelf::ctl;  // NOLINT: the tests name nearly all of it.
+using namespace runshelf::ctl;  // NOLINT: the tests use most of its names.
 
 TEST_GROUP(Explain){};
 
--- a/tests/ctl/quarantine_commands_test.cc
+++ b/tests/ctl/quarantine_commands_test.cc
@@ -7,7 +7,7 @@
 #include "source/sidecar/crash_items.h"
 #include "tests/table/fake_key_value_store.h"
 
-using namespace runshelf::ctl;  // NOLINT: the tests name nearly all of it.
+using namespace runshelf::ctl;  // NOLINT: the tests use most of its names.
 using runshelf::sidecar::QuarantineItem;
 using runshelf::sidecar::RequestFingerprint;
 using runshelf::sidecar::WorkerEnd;
@@ -63,7 +63,8 @@
   STRCMP_EQUAL("0 in quarantine\n", out.str().c_str());
 }
 
-// The third trial's end is in no item of the request yet.
+// The termination of worker w3 is recorded, but not yet part of the request's quarantine item. A
+// release that covered only the item would let it count against the request again.
 TEST(QuarantineCommands, AReleaseCoversAllKnownWorkerEnds) {
   PutItem(/*released=*/false);
   PutEnd("w3");
--- a/tests/ctl/table_commands_test.cc
+++ b/tests/ctl/table_commands_test.cc
@@ -10,7 +10,7 @@
 #include "source/ctl/files.h"
 #include "tests/table/fake_key_value_store.h"
 
-using namespace runshelf::ctl;  // NOLINT: the tests name nearly all of it.
+using namespace runshelf::ctl;  // NOLINT: the tests use most of its names.
 using runshelf::table::Fault;
 using runshelf::table::Operation;
 
@@ -96,6 +96,7 @@
 TEST(TableCommands, AConflictReportsTheCellAndTheWinningAuthor) {
   Run(SetCommand{{"a", "b"}, 1, std::nullopt, false});
   int reads = 0;
+  // Another editor changes the cell before the second read, after the command has read it.
   store.before_call = [&](Operation operation) {
     if (operation != Operation::kRange || ++reads != 2) return;
     runshelf::SeededRandom other_random(2);
