--- a/source/ctl/quarantine_commands.cc
+++ b/source/ctl/quarantine_commands.cc
@@ -16,7 +16,7 @@
 using sidecar::QuarantineItem;
 using sidecar::RequestFingerprint;
 
-// As long as the nodes keep such an item.
+// The lifetime of quarantine items that nodes write, the longest lease that the store grants.
 constexpr Duration kItemLifetime = std::chrono::minutes(10);
 
 int ReportUnavailable(const absl::Status& status, const Streams& streams) {
@@ -27,32 +27,34 @@
   return kExitUnavailable;
 }
 
-// Workers that ended under the request.
-absl::StatusOr<std::set<std::string>> WorkersOf(const RequestFingerprint& request,
-                                                KeyValueStore& store) {
+// Returns the ids of workers that terminated while running the request.
+absl::StatusOr<std::set<std::string>> FindWorkersEndedDuring(const RequestFingerprint& request,
+                                                             KeyValueStore& store) {
   const auto range = store.Range(std::string(sidecar::kWorkerEndPrefix));
   if (!range.ok()) return range.status();
   std::set<std::string> workers;
   for (const KeyValue& entry : range->key_values) {
     const auto end = sidecar::WorkerEnd::Parse(entry.value);
     if (!end.has_value()) continue;
-    const bool at_work =
+    const bool was_running =
         std::find(end->requests.begin(), end->requests.end(), request) != end->requests.end();
-    if (at_work) workers.insert(end->worker_id);
+    if (was_running) workers.insert(end->worker_id);
   }
   return workers;
 }
 
-struct StoredQuarantine {
+// A quarantine item with its revision in the store.
+struct StoredQuarantineItem {
   QuarantineItem item;
-  int64_t revision = 0;  // Zero: there is no item.
+  int64_t revision = 0;  // 0 if the store has no item.
 };
 
-absl::StatusOr<StoredQuarantine> Read(const RequestFingerprint& request, KeyValueStore& store) {
+absl::StatusOr<StoredQuarantineItem> ReadQuarantineItem(const RequestFingerprint& request,
+                                                        KeyValueStore& store) {
   const std::string key = std::string(sidecar::kQuarantinePrefix) + request.ToString();
   const auto range = store.Range(key);
   if (!range.ok()) return range.status();
-  StoredQuarantine stored;
+  StoredQuarantineItem stored;
   for (const KeyValue& entry : range->key_values) {
     if (entry.key != key) continue;
     stored.revision = entry.mod_revision;
@@ -84,16 +86,18 @@
   const auto request = RequestFingerprint::Parse(command.fingerprint);
   if (!request.has_value()) {
     fmt::print(streams.err,
-               "runshelfctl: '{}' is no fingerprint; see runshelfctl quarantine list\n",
+               "runshelfctl: '{}' is not a fingerprint; see runshelfctl quarantine list\n",
                command.fingerprint);
     return kExitUsage;
   }
-  auto stored = Read(*request, store);
+  auto stored = ReadQuarantineItem(*request, store);
   if (!stored.ok()) return ReportUnavailable(stored.status(), streams);
-  auto workers = WorkersOf(*request, store);
+  auto workers = FindWorkersEndedDuring(*request, store);
   if (!workers.ok()) return ReportUnavailable(workers.status(), streams);
   if (stored->revision == 0 && workers->empty()) {
-    fmt::print(streams.err, "runshelfctl: nothing is held against that request\n");
+    fmt::print(streams.err,
+               "runshelfctl: the request is not in quarantine and no worker termination is "
+               "recorded for it\n");
     return kExitRefused;
   }
   workers->insert(stored->item.worker_ids.begin(), stored->item.worker_ids.end());
@@ -106,11 +110,16 @@
       store.Commit({{key, stored->revision}}, {{key, stored->item.Serialize(), *lease}});
   if (!result.ok()) {
     if (!absl::IsUnknown(result.status())) return ReportUnavailable(result.status(), streams);
-    fmt::print(streams.err, "runshelfctl: the answer was lost; see runshelfctl quarantine list\n");
+    fmt::print(streams.err,
+               "runshelfctl: undetermined: the store's response was lost; see "
+               "runshelfctl quarantine list\n");
     return kExitUndetermined;
   }
   if (!result->succeeded) {
-    fmt::print(streams.err, "runshelfctl: a trial of the request began just now; try again\n");
+    fmt::print(
+        streams.err,
+        "runshelfctl: the quarantine item was changed concurrently, possibly by a trial run; "
+        "nothing was changed, try again\n");
     return kExitRefused;
   }
   fmt::print(streams.out, "released {} revision={}\n", request->ToString(), result->revision);
--- a/source/ctl/table_commands.cc
+++ b/source/ctl/table_commands.cc
@@ -15,14 +15,14 @@
 using table::EditOutcome;
 using table::EditResult;
 
-// The state that all commands share while one of them runs.
+// Arguments common to all table commands.
 struct Context {
   table::TableEditor& editor;
   table::EditOrigin origin;
   Streams streams;
 };
 
-int ReportUnreadable(const Context& context, const absl::Status& status) {
+int ReportPlatformReadError(const Context& context, const absl::Status& status) {
   fmt::print(
       context.streams.err,
       "runshelfctl: the platform could not be read, nothing was changed: {}; check --platform and "
@@ -81,7 +81,7 @@
 
 int Run(const Context& context, const ShowCommand&) {
   const absl::StatusOr<table::Table> table = context.editor.Read();
-  if (!table.ok()) return ReportUnreadable(context, table.status());
+  if (!table.ok()) return ReportPlatformReadError(context, table.status());
   std::ostream& out = context.streams.out;
   fmt::print(out, "revision {}, {} cells\n", table->revision(), table->cells().size());
   fmt::print(out, "{:<20} {:<20} {:>8} {:>10} {:>10}  {}\n", "service", "class", "weight", "limit",
@@ -97,11 +97,11 @@
 
 int Run(const Context& context, const SetCommand& command) {
   const absl::StatusOr<table::Table> table = context.editor.Read();
-  if (!table.ok()) return ReportUnreadable(context, table.status());
+  if (!table.ok()) return ReportPlatformReadError(context, table.status());
   const table::Cell* const cell = table->Lookup(command.key.service, command.key.caller_class);
   if (cell == nullptr && !command.weight.has_value()) {
     fmt::print(context.streams.err,
-               "runshelfctl: refused: there is no cell {} yet; a new cell needs --weight\n",
+               "runshelfctl: refused: cell {} does not exist; a new cell needs --weight\n",
                command.key.ToString());
     return kExitRefused;
   }
@@ -109,7 +109,8 @@
   value.weight = command.weight.value_or(value.weight);
   if (command.limit.has_value()) value.limit = command.limit;
   if (command.no_limit) value.limit.reset();
-  // What was not given comes from the cell as read, so the edit depends on it.
+  // Omitted fields are copied from the cell as read, so the edit must fail if the cell has changed
+  // since.
   std::optional<int64_t> expected_revision;
   if (cell != nullptr) expected_revision = cell->mod_revision;
   return ReportEdit(context,
@@ -139,7 +140,7 @@
 
 int Run(const Context& context, const ExportCommand& command) {
   const absl::StatusOr<table::Table> table = context.editor.Read();
-  if (!table.ok()) return ReportUnreadable(context, table.status());
+  if (!table.ok()) return ReportPlatformReadError(context, table.status());
   const std::string text = table::FormatTableCsv(*table);
   if (command.file == kStandardStream) {
     context.streams.out << text;
@@ -164,7 +165,7 @@
 
 int Run(const Context& context, const HistoryCommand& command) {
   const absl::StatusOr<std::vector<table::EditRecord>> history = context.editor.History();
-  if (!history.ok()) return ReportUnreadable(context, history.status());
+  if (!history.ok()) return ReportPlatformReadError(context, history.status());
   bool found = false;
   for (const table::EditRecord& record : *history) {
     if (command.edit_id.has_value() && record.edit_id != *command.edit_id) continue;
@@ -178,6 +179,7 @@
   return kExitRefused;
 }
 
+// The remaining commands do not use the table; the program dispatches them elsewhere.
 int Run(const Context&, const StatusCommand&) { return kExitUsage; }
 
 int Run(const Context&, const ExplainCommand&) { return kExitUsage; }
--- a/tests/ctl/quarantine_commands_test.cc
+++ b/tests/ctl/quarantine_commands_test.cc
@@ -7,15 +7,15 @@
 #include "source/sidecar/crash_items.h"
 #include "tests/table/fake_key_value_store.h"
 
-using namespace runshelf::ctl;  // NOLINT: the tests name nearly all of it.
+using namespace runshelf::ctl;  // NOLINT: the tests use most of its names.
 using runshelf::sidecar::QuarantineItem;
 using runshelf::sidecar::RequestFingerprint;
 using runshelf::sidecar::WorkerEnd;
 
 namespace {
 
-const std::string kPrint = "0123456789abcdef0123456789abcdef";
-const std::string kItemKey = "runshelf/quarantine/" + kPrint;
+const std::string kFingerprint = "0123456789abcdef0123456789abcdef";
+const std::string kItemKey = "runshelf/quarantine/" + kFingerprint;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
   }
 
   void PutEnd(const std::string& worker) {
-    const WorkerEnd end{worker, "n1", {*RequestFingerprint::Parse(kPrint)}};
+    const WorkerEnd end{worker, "n1", {*RequestFingerprint::Parse(kFingerprint)}};
     CHECK(store.Commit({}, {{"runshelf/worker-ends/" + worker, end.Serialize(), 0}}).ok());
   }
 
@@ -48,31 +48,32 @@
   }
 };
 
-TEST(QuarantineCommands, TheListNamesTheEvidence) {
+TEST(QuarantineCommands, TheListShowsTrialsAndWorkers) {
   PutItem(/*released=*/false);
   LONGS_EQUAL(kExitOk, RunQuarantineList(store, {out, err}));
-  STRCMP_CONTAINS((kPrint + " trials=2 asks=\"GET h.example/read/7\" workers=w1,w2").c_str(),
+  STRCMP_CONTAINS((kFingerprint + " trials=2 asks=\"GET h.example/read/7\" workers=w1,w2").c_str(),
                   out.str().c_str());
   STRCMP_CONTAINS("1 in quarantine", out.str().c_str());
 }
 
-TEST(QuarantineCommands, WhatIsReleasedOrBrokenIsNotListed) {
+TEST(QuarantineCommands, ReleasedOrMalformedItemsAreNotListed) {
   PutItem(/*released=*/true);
   CHECK(store.Commit({}, {{"runshelf/quarantine/x", "{", 0}}).ok());
   LONGS_EQUAL(kExitOk, RunQuarantineList(store, {out, err}));
   STRCMP_EQUAL("0 in quarantine\n", out.str().c_str());
 }
 
-// The third trial's end is in no item of the request yet.
-TEST(QuarantineCommands, AReleaseCoversAllEndsThatAreKnown) {
+// The termination of worker w3 is recorded, but not yet part of the request's quarantine item. A
+// release that covered only the item would let it count against the request again.
+TEST(QuarantineCommands, AReleaseCoversAllKnownWorkerEnds) {
   PutItem(/*released=*/false);
   PutEnd("w3");
-  LONGS_EQUAL(kExitOk, Release(kPrint));
+  LONGS_EQUAL(kExitOk, Release(kFingerprint));
   CHECK(Stored().released);
   CHECK((Stored().worker_ids == std::vector<std::string>{"w1", "w2", "w3"}));
 }
 
-TEST(QuarantineCommands, WhatNothingIsHeldAgainstIsNotReleased) {
-  LONGS_EQUAL(kExitRefused, Release(kPrint));
+TEST(QuarantineCommands, RequestsWithoutEvidenceAreNotReleased) {
+  LONGS_EQUAL(kExitRefused, Release(kFingerprint));
   LONGS_EQUAL(kExitUsage, Release("7"));
 }
--- a/tests/ctl/table_commands_test.cc
+++ b/tests/ctl/table_commands_test.cc
@@ -10,7 +10,7 @@
 #include "source/ctl/files.h"
 #include "tests/table/fake_key_value_store.h"
 
-using namespace runshelf::ctl;  // NOLINT: the tests name nearly all of it.
+using namespace runshelf::ctl;  // NOLINT: the tests use most of its names.
 using runshelf::table::Fault;
 using runshelf::table::Operation;
 
@@ -48,7 +48,7 @@
   }
 };
 
-TEST(TableCommands, SetKeepsWhatIsNotGiven) {
+TEST(TableCommands, SetKeepsOmittedFields) {
   LONGS_EQUAL(kExitRefused, Run(SetCommand{{"a", "b"}, std::nullopt, 7, false}));
   STRCMP_CONTAINS("a new cell needs --weight", err.c_str());
   LONGS_EQUAL(kExitOk, Run(SetCommand{{"a", "b"}, 5, 7, false}));
@@ -67,7 +67,7 @@
   STRCMP_CONTAINS("unchanged", out.c_str());
 }
 
-TEST(TableCommands, ABadFileIsRefusedAndNothingChanges) {
+TEST(TableCommands, AnInvalidFileIsRefusedAndNothingChanges) {
   LONGS_EQUAL(kExitRefused, Import("service,class,weight,limit\na,b,5,\na,c,-5,\n"));
   STRCMP_CONTAINS("row 3, column weight", err.c_str());
   LONGS_EQUAL(kExitRefused, Import("service,class,weight,limit\n" + std::string(2U << 20U, 'a')));
@@ -93,9 +93,10 @@
   LONGS_EQUAL(kExitRefused, Run(HistoryCommand{"unknown"}));
 }
 
-TEST(TableCommands, AConflictNamesTheCellAndWhoWon) {
+TEST(TableCommands, AConflictReportsTheCellAndTheWinningAuthor) {
   Run(SetCommand{{"a", "b"}, 1, std::nullopt, false});
   int reads = 0;
+  // Another editor changes the cell before the second read, after the command has read it.
   store.before_call = [&](Operation operation) {
     if (operation != Operation::kRange || ++reads != 2) return;
     runshelf::SeededRandom other_random(2);
