--- a/tests/soak/abandonment_judge.cc
+++ b/tests/soak/abandonment_judge.cc
@@ -5,13 +5,14 @@
 namespace runshelf::soak {
 namespace {
 
-// By then the close of a caller must have come through (users' pages: half a second).
+// Time limit for propagating a caller's disconnect to the worker (user documentation: half a
+// second).
 constexpr Duration kNoticeTime = std::chrono::milliseconds(500);
-// "More than a few" requests that reach workers later.
+// Requests that may reach workers after the limit; the documentation allows "a few".
 constexpr int kAllowedLate = 5;
-// Work that goes on is judged as a share, of this many requests at least.
+// The share of requests that were not cancelled is checked from this sample size on.
 constexpr int kLeastCases = 8;
-constexpr int kAllowedPart = 4;  // A quarter.
+constexpr int kAllowedPart = 4;  // One in four, i.e. a quarter.
 
 }  // namespace
 
--- a/tests/soak/abandonment_judge.h
+++ b/tests/soak/abandonment_judge.h
@@ -1,4 +1,4 @@
-// Judges whether the nodes stop work for callers that have left. Free of input and output.
+// Checks that nodes cancel requests whose callers have disconnected. Performs no I/O.
 #pragma once
 
 #include <map>
@@ -9,18 +9,20 @@
 
 namespace runshelf::soak {
 
+// Collects disconnects and worker activity of one run and reports violations.
 class AbandonmentJudge {
  public:
-  // A caller closed its connection before its answer; a worker may be at work on the request.
-  // `repeatable`: the request may be broken off.
+  // A caller closed its connection before it got a response; a worker may still be processing the
+  // request. `repeatable`: the request is idempotent, so the node may cancel it.
   void OnLeft(const std::string& id, Instant at, bool repeatable);
-  // A worker began a request, or went on until `at`, of which its caller had left. `in_touch`:
-  // nothing disturbed the nodes on the way. `would_last_until`: of work that was broken off.
+  // A worker began processing a request, or stopped processing it at `at`; both are ignored unless
+  // the caller had disconnected. `in_touch`: no fault affected the nodes on the request's path.
+  // `would_last_until`: when the work would have ended without cancellation.
   void OnBegan(const std::string& id, Instant at, bool in_touch);
   void OnWorkEnded(const std::string& id, Instant at, Instant would_last_until, bool in_touch);
 
-  // One line for each finding so far: how many requests came late, and the share that went on.
-  // The share is judged when the run is over.
+  // Finish() checks, at the end of the run, the share of requests that were not cancelled.
+  // violations() has one line per violation so far.
   void Finish();
   const std::vector<std::string>& violations() const { return violations_; }
 
@@ -30,10 +32,10 @@
     bool repeatable = false;
   };
   std::map<std::string, Left> left_;
-  int begun_late_ = 0;  // Requests that reached a worker long after their callers had left.
-  int would_last_ = 0;  // Repeatable ones whose work would have gone on long after that.
+  int begun_late_ = 0;  // Requests that reached a worker after the time limit.
+  int would_last_ = 0;  // Repeatable requests whose work would have outlasted it.
   std::vector<std::string> violations_;
-  int worked_on_ = 0;  // Of those: that went on.
+  int worked_on_ = 0;  // Those of `would_last_` that were not cancelled in time.
 };
 
 }  // namespace runshelf::soak
--- a/tests/soak/configuration_judge.h
+++ b/tests/soak/configuration_judge.h
@@ -1,5 +1,5 @@
-// Judges whether nodes follow the operator's configurations: in force within the bound, and never
-// back to an older one. Free of input and output; times are given by the caller.
+// Checks that each node applies a new configuration within the time bound and never reverts to an
+// older one. Performs no I/O; the caller supplies all timestamps.
 #pragma once
 
 #include <cstddef>
@@ -14,27 +14,30 @@
 
 namespace runshelf::soak {
 
-// Which services may run requests, by the first part of their path. A path that is missing has no
-// route and is answered 404.
+// Services that may process requests, by the first path segment. A segment that is not listed has
+// no route, and requests for it are answered with 404.
 using AllowedServices = std::map<std::string, std::set<std::string>>;
 
-// What became of a request that shows which configurations may be in force at a node.
+// The outcome of a request, from which the configurations possibly in force at a node follow.
 struct HandledRequest {
   std::string id;
-  size_t node = 0;  // That it was sent to.
-  int life = 0;     // Of that node's process, when it was sent.
+  size_t node = 0;  // Node that received the request.
+  int life = 0;     // Process incarnation of that node at `sent_at`.
   Instant sent_at{};
-  Instant seen_at{};  // When a worker began it, or the caller got the answer 404.
+  Instant seen_at{};  // When a worker began it, or the caller received the 404.
   std::string route;
-  std::optional<std::string> service;  // That ran it; absent: 404.
-  bool in_touch = false;  // Nothing disturbed the node, nor the store, for long enough.
+  std::optional<std::string> service;  // Service that processed it; absent for a 404.
+  bool in_touch = false;               // Neither node nor store was recently affected by a fault.
 };
 
+// `apply`: maximum time from the store's acknowledgement until a configuration is in force.
+// `rollback_slack`: tolerance for requests that overlap a change of configuration.
 struct ConfigurationBounds {
   Duration apply = std::chrono::milliseconds(2000);
   Duration rollback_slack = std::chrono::milliseconds(250);
 };
 
+// Compares handled requests with the history of configurations.
 class ConfigurationJudge {
  public:
   explicit ConfigurationJudge(ConfigurationBounds bounds) : bounds_(bounds) {}
@@ -43,7 +46,7 @@
   void OnConfiguration(Instant acknowledged, AllowedServices allowed);
   void OnHandled(const HandledRequest& request);
 
-  // One line for each finding, in the order in which they were seen.
+  // One line per violation, in the order of detection.
   const std::vector<std::string>& violations() const { return violations_; }
 
  private:
@@ -51,8 +54,7 @@
     Instant acknowledged;
     AllowedServices allowed;
   };
-  // Every request that was handled since `seen_at` was handled under this configuration or a newer
-  // one.
+  // From `seen_at` on, the configuration with index `oldest` or a newer one was in force.
   struct Seen {
     Instant seen_at;
     size_t oldest;
@@ -63,8 +65,8 @@
   void CheckNeverBack(const HandledRequest& request, size_t oldest, size_t newest);
 
   ConfigurationBounds bounds_;
-  std::vector<Configuration> configurations_;                 // In order of their versions.
-  std::map<std::pair<size_t, int>, std::vector<Seen>> seen_;  // By node and life.
+  std::vector<Configuration> configurations_;                 // In version order.
+  std::map<std::pair<size_t, int>, std::vector<Seen>> seen_;  // By node and incarnation.
   std::vector<std::string> violations_;
 };
 
--- a/tests/soak/fatal_request_judge.cc
+++ b/tests/soak/fatal_request_judge.cc
@@ -5,10 +5,11 @@
 namespace runshelf::soak {
 namespace {
 
+// Worker crashes after which a request counts as fatal.
 constexpr size_t kEndsThatShow = 3;
-// Nodes in touch must know by then.
+// Time within which nodes unaffected by faults must learn that a request is fatal.
 constexpr Duration kTimeToLearn = std::chrono::seconds(3);
-// Runs that are allowed after that.
+// Runs tolerated after that time.
 constexpr int kLaterRuns = 3;
 
 }  // namespace
--- a/tests/soak/loss_judge.cc
+++ b/tests/soak/loss_judge.cc
@@ -7,15 +7,15 @@
 namespace runshelf::soak {
 namespace {
 
-// A stop counts until this long after the grace period (users' pages).
+// A stop is considered in progress until this long after the grace period (user documentation).
 constexpr Duration kAfterGrace = std::chrono::seconds(1);
-// Requests that were sent so soon after the SIGTERM may be at work too long to be waited for.
+// Requests sent within this time after SIGTERM may outlast the grace period.
 constexpr Duration kSentEarly = std::chrono::seconds(3);
-// The last part of the grace period, in which work that goes on is excused.
+// Work still running in the last sixth (1/6) of the grace period does not count as lost.
 constexpr int kLastPartOfGrace = 6;
-// A node counts a deadline from when it has read the request, and in whole milliseconds.
+// A node measures a deadline from reading the request, in whole milliseconds.
 constexpr Duration kDeadlineRounding = std::chrono::milliseconds(50);
-// Requests on kept connections that a node may pass on and close on outside of planned work.
+// Forwarded requests on keep-alive connections that a node may drop outside of stops and reloads.
 constexpr int kAllowedInPeace = 3;
 
 bool WorkBrokeOff(const FinishedAttempt& attempt) {
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-// The stop during which the attempt ended.
+// Returns when the stop began during which the attempt ended, if any.
 std::optional<Instant> LossJudge::StopAround(const FinishedAttempt& attempt) const {
   const auto stops = stops_.find(attempt.node);
   if (stops == stops_.end()) return std::nullopt;
@@ -58,7 +58,8 @@
   });
 }
 
-// The node had read the request and did not answer it, or answered for a worker that was at work.
+// Whether the node read the request but did not respond, or responded itself while a worker was
+// still processing it.
 bool LossJudge::IsCut(const FinishedAttempt& attempt) const {
   if (attempt.end == FinishedAttempt::End::kAnswered) {
     return !attempt.by_worker && WorkGoesOn(attempt);
--- a/tests/soak/loss_judge.h
+++ b/tests/soak/loss_judge.h
@@ -1,5 +1,5 @@
-// Judges whether requests were lost around planned stops and reloads of nodes, from what callers
-// and workers saw. Free of input and output; times are given by the caller and belong to one clock.
+// Checks, from the observations of callers and workers, that planned stops and reloads of nodes
+// lose no requests. Performs no I/O; the caller supplies all timestamps, taken from one clock.
 #pragma once
 
 #include <cstddef>
@@ -12,55 +12,59 @@
 
 namespace runshelf::soak {
 
+// How a worker's processing of a request ended.
 enum class WorkEnd {
-  kAnswered,   // The worker gave its answer.
-  kBrokenOff,  // The worker ended, or broke the connection.
-  kCancelled,  // The connection to the worker was closed from the other side.
+  kAnswered,   // The worker sent its response.
+  kBrokenOff,  // The worker exited or closed the connection.
+  kCancelled,  // The node closed the connection to the worker.
 };
 
-// A worker's work on one request.
+// The processing of one request by a worker.
 struct Work {
   Instant began{};
-  std::optional<Instant> ended;  // Absent while it goes on.
+  std::optional<Instant> ended;  // Absent while in progress.
   WorkEnd end = WorkEnd::kAnswered;
 };
 
-// An attempt that has ended, as its caller saw it: a client, or a worker that makes a call.
+// A completed attempt as observed by its caller, which is a client or a calling worker.
 struct FinishedAttempt {
   enum class End {
     kAnswered,
-    kClosed,  // The connection ended in order: the node had read all that was sent.
-    kReset,   // It broke: the node may not have read the request.
+    kClosed,  // Orderly close: the node had read everything that was sent.
+    kReset,   // Connection reset: the node may not have read the request.
   };
 
   std::string id;
-  size_t node = 0;  // That it was sent to.
+  size_t node = 0;  // Node that received the attempt.
   Instant sent_at{};
   Instant ended_at{};
-  Instant time_up{};       // The caller's deadline or the route's timeout, whichever is earlier.
-  bool disturbed = false;  // By unplanned faults, too shortly before it was sent or since.
-  bool kept_connection = false;  // It went out on a connection that had served others.
+  Instant time_up{};             // The earlier of the caller's deadline and the route's time-out.
+  bool disturbed = false;        // An unplanned fault occurred shortly before it was sent or since.
+  bool kept_connection = false;  // Sent on a reused keep-alive connection.
   End end = End::kAnswered;
-  bool by_worker = false;  // The answer is a worker's.
+  bool by_worker = false;  // The response came from a worker, not the node.
   std::vector<Work> work;
 };
 
+// `grace_period`: time a node has to shut down after SIGTERM. `loss_slack`: a connection closed
+// sooner than this is not counted as a lost request. `config_apply`: time a reload may take.
 struct LossBounds {
   Duration grace_period = std::chrono::seconds(6);
   Duration loss_slack = std::chrono::milliseconds(200);
   Duration config_apply = std::chrono::milliseconds(2000);
 };
 
+// Collects stops, reloads and completed attempts, and reports lost requests.
 class LossJudge {
  public:
   explicit LossJudge(LossBounds bounds) : bounds_(bounds) {}
 
-  // A node got SIGTERM, or SIGHUP.
+  // A node received SIGTERM or SIGHUP, respectively.
   void OnStopAsked(size_t node, Instant at) { stops_[node].push_back(at); }
   void OnReloadAsked(size_t node, Instant at) { reloads_[node].push_back(at); }
   void OnFinished(const FinishedAttempt& attempt);
 
-  // One line for each finding, in the order in which they were seen.
+  // One line per violation, in the order of detection.
   const std::vector<std::string>& violations() const { return violations_; }
 
  private:
@@ -72,7 +76,7 @@
   LossBounds bounds_;
   std::map<size_t, std::vector<Instant>> stops_;
   std::map<size_t, std::vector<Instant>> reloads_;
-  std::map<size_t, int> closed_in_peace_;  // By node.
+  std::map<size_t, int> closed_in_peace_;  // Count by node.
   std::vector<std::string> violations_;
 };
 
