--- a/tests/soak/configuration_judge.h
+++ b/tests/soak/configuration_judge.h
@@ -31,7 +31,8 @@
 };
 
 // `apply`: maximum time from the store's acknowledgement until a configuration is in force.
-// `rollback_slack`: tolerance for requests that overlap a change of configuration.
+// `rollback_slack`: how long after a configuration was observed requests may still be handled under
+// an older one.
 struct ConfigurationBounds {
   Duration apply = std::chrono::milliseconds(2000);
   Duration rollback_slack = std::chrono::milliseconds(250);
--- a/tests/soak/fault_kind.cc
+++ b/tests/soak/fault_kind.cc
@@ -5,7 +5,7 @@
 namespace runshelf::soak {
 namespace {
 
-// In the order of the enumeration.
+// In the order of FaultKind's enumerators.
 constexpr std::array<std::string_view, kFaultKinds> kNames{
     "kill-process",
     "kill-all-processes",
--- a/tests/soak/fault_kind.h
+++ b/tests/soak/fault_kind.h
@@ -1,4 +1,4 @@
-// The kinds of trouble that the soak makes.
+// The kinds of faults that the soak test injects.
 #pragma once
 
 #include <cstddef>
@@ -6,50 +6,53 @@
 
 namespace runshelf::soak {
 
-// What may be done to the fleet. Each lasts for a time, and several may go on at once.
+// Faults that can be injected into the fleet. Each has a duration, and several may be active at
+// once.
 enum class FaultKind {
-  // Processes. One that has ended is started again, after the fault's time if that is longer.
+  // Processes. A process that exits is restarted once it has exited and the duration has elapsed.
   kKillProcess,
   kKillAllProcesses,
   kPauseProcess,
   kTerminateProcess,
-  kReloadSettings,  // The settings file changes, and SIGHUP says so.
+  kReloadSettings,  // Changes the settings file and sends SIGHUP.
   // The whole store.
   kStoreRefuses,
   kStoreSilent,
   kStoreLosesAnswers,
-  kStoreCarriesOutLate,  // Unanswered transactions, if their conditions still hold.
+  kStoreCarriesOutLate,  // Commits unacknowledged transactions late if their conditions still hold.
   kStoreForgetsHistory,
-  kStoreDownPastLeases,  // Until every lease that cannot be renewed has run out.
-  kStoreTurnsAway,       // One node, by what its mode says; it serves the others.
-  // Ways, by proxies.
-  kStorePath,          // Of one node.
-  kNodePath,           // Of all others to one node.
+  kStoreDownPastLeases,  // Until every lease that cannot be renewed has expired.
+  kStoreTurnsAway,       // Rejects one node as its mode specifies; serves the others.
+  // Network paths, through proxies.
+  kStorePath,          // Between one node and the store.
+  kNodePath,           // From all other nodes to one node.
   kWorkerPath,         // Between one node and its worker.
-  kPairPath,           // Of one node to one other.
-  kStoreConnections,   // Those that are open to the store fall silent for good; new ones work.
-  kNodeConnections,    // The same of those to one node.
-  kWorkerConnections,  // The same of those to one worker.
-  // Workers. One that has ended is replaced by a new life at the same address.
+  kPairPath,           // From one node to one other node.
+  kStoreConnections,   // Open connections to the store stall for good; new ones work.
+  kNodeConnections,    // The same for connections to one node.
+  kWorkerConnections,  // The same for connections to one worker.
+  // Workers. A worker that exits is replaced by a new incarnation at the same address.
   kWorkerCrash,
   kWorkerLeaves,
-  kOrdersUnanswered,   // Grants and releases are left unanswered, and some carried out late.
-  kHeartbeatsDelayed,  // Some arrive seconds late, after newer ones or newer lives.
-  // Planned.
+  kOrdersUnanswered,   // Grants and releases get no acknowledgement; some are applied late.
+  kHeartbeatsDelayed,  // Some arrive seconds late, after newer ones or newer incarnations.
+  // Planned operations.
   kConfigurationChange,
-  // Workers as processes. These are drawn by series of their own.
-  kWorkerRestarts,        // Ends without a word, and starts again under its identity.
-  kWorkerResetsNew,       // At its limit of connections: new ones are reset, it serves on.
-  kWorkerStopsListening,  // New connections are refused; it serves those that are open.
-  // Drawn only when a run asks for them.
-  kStoreRestored,       // Away, and then back from an older copy of its data.
-  kWorkerAnswersTwice,  // The second time late, in the place of the next answer or of none.
+  // Worker processes. These have separate series in the fault plan.
+  kWorkerRestarts,        // Exits without deregistering and restarts with the same identity.
+  kWorkerResetsNew,       // Connection limit reached: new connections are reset, open ones work.
+  kWorkerStopsListening,  // New connections are refused, open ones work.
+  // Only in runs that enable them.
+  kStoreRestored,       // Unavailable, then restored from an older copy of its data.
+  kWorkerAnswersTwice,  // Sends a response again, late, in place of the next one or on an idle
+                        // connection.
 };
 
-// Those that may come by themselves: the first ones.
+// The first enumerators, which the plan may also use as single faults.
 constexpr size_t kSingleFaultKinds = 24;
 constexpr size_t kFaultKinds = 29;
 
+// The name of the fault in results and logs.
 std::string_view FaultName(FaultKind kind);
 
 }  // namespace runshelf::soak
--- a/tests/soak/fault_plan.cc
+++ b/tests/soak/fault_plan.cc
@@ -14,18 +14,20 @@
 using std::chrono::milliseconds;
 using Mode = FaultProxy::Mode;
 
-// From the start of one series to that of the next: shorter than most series last.
+// Interval between the starts of consecutive series; shorter than most series, so that they
+// overlap.
 constexpr Duration kShortestStep = milliseconds(700);
 constexpr Duration kLongestStep = milliseconds(4000);
-// How long a node that starts waits for its former life's grants before it gives up the keys of a
-// worker that it has not found: 3 s, 2% of it and 0.4 s. The store comes back at about that time.
+// How long a restarted node waits for the grants of its previous incarnation to expire before it
+// gives up the keys of a worker that it has not found: 3 s, plus 2%, plus 0.4 s. The plan brings
+// the store back at about that time.
 constexpr Duration kGivesUpAfter = milliseconds(3460);
-// Before the longest lease of a node, 8 s, has run out that cannot be renewed.
+// Longer than the longest lease of a node, 8 s, so that leases expire during the outage.
 constexpr Duration kPastLeases = milliseconds(9000);
-// Outages that end before it has, by the last renewal up to 2 s before.
+// Short enough for that lease to survive even if its last renewal was 2 s before the outage.
 constexpr Duration kWithinLeases = milliseconds(5500);
 
-// Draws the faults; each series is one function.
+// Generates the faults; each series is one function.
 class Planner {
  public:
   explicit Planner(const FaultPlanInput& input) : input_(input), random_(input.seed) {}
@@ -36,7 +38,7 @@
       DrawSeries(at);
       at += random_.Between(kShortestStep, kLongestStep);
     }
-    // Drawn by itself, so that it changes nothing of the series above.
+    // Uses a generator of its own, so that the series above stay the same for a given seed.
     random_ = SeededRandom(~input_.seed);
     for (at = input_.first; at < input_.last; at += Time(7000, 16000)) {
       MovesWithOrdersOut(at + Time(0, 5000));
@@ -59,7 +61,7 @@
  private:
   using Series = void (Planner::*)(Duration);
 
-  // Every kind of series comes before one comes again.
+  // Picks series without replacement: each occurs once before any is repeated.
   void DrawSeries(Duration at) {
     if (waiting_.empty()) {
       waiting_ = {
@@ -86,7 +88,7 @@
     return kModes[random_.Below(kModes.size())];
   }
 
-  // Leaves out what would begin too late, and begins and ends in time what would not.
+  // Drops faults that would start too late, and clamps the others to the permitted period.
   void Add(PlannedFault fault) {
     fault.at = std::max(fault.at, input_.first);
     if (fault.at >= input_.last) return;
@@ -119,7 +121,7 @@
     fault.delay = Time(20, 600);
     Add(fault);
   }
-  // Some nodes, each once, of one service or of any.
+  // Returns up to `count` distinct random nodes, optionally of one service only.
   std::vector<size_t> SomeNodes(size_t count, const std::string& service = "") {
     std::vector<size_t> nodes;
     for (size_t node = 0; node < input_.services.size(); ++node) {
@@ -157,12 +159,12 @@
     }
   }
 
-  // A node cannot tell others through the store that it stops.
+  // Nodes stop while the store is unavailable, so they cannot announce it to other nodes there.
   void StopsWithStoreAway(Duration at) {
     const Duration outage = Time(5500, 8500);
     AddStoreOutage(at, outage);
     Duration stop = at + Time(0, 1000);
-    // One whose worker anybody may choose, and some others.
+    // One node of a service without keys, and some others.
     std::vector<size_t> nodes = SomeNodes(1, Coin() ? "plain" : "other");
     for (const size_t node : SomeNodes(random_.Below(Half()))) nodes.push_back(node);
     for (const size_t node : nodes) {
@@ -171,8 +173,8 @@
     }
   }
 
-  // Nodes start without the store; it is back at about the moment at which they give up the keys
-  // of workers that they have not found.
+  // Nodes restart while the store is unavailable; it returns at about the time at which they give
+  // up the keys of workers that they have not found.
   void KillsWithStoreAway(Duration at) {
     const Duration killed = at + Time(200, 1800);
     const Duration back = killed + kGivesUpAfter + Time(-300, 900);
@@ -201,7 +203,7 @@
     }
   }
 
-  // A node is killed while its worker has orders that it did not answer, and carries out later.
+  // A node is killed while its worker has unacknowledged grants or releases that it applies later.
   void CrashWithOrdersOut(Duration at) {
     for (const size_t node : SomeNodes(1 + random_.Below(3), "keyed")) {
       const Duration time = Time(1500, 4500);
@@ -213,7 +215,7 @@
     }
   }
 
-  // Keys move away from a worker that has orders which it did not answer, and carries out later.
+  // Keys move away from a worker with unacknowledged grants or releases that it applies later.
   void MovesWithOrdersOut(Duration at) {
     for (const size_t node : SomeNodes(1 + random_.Below(2), "keyed")) {
       Add(FaultKind::kOrdersUnanswered, at, Time(3000, 6000), node);
@@ -223,9 +225,9 @@
     }
   }
 
-  // Workers end and start again under their identity, after a moment or after the node has noticed,
-  // some while orders or heartbeats of the former life are under way; or they take no connections
-  // for a while and serve on.
+  // Workers exit and restart with the same identity, at once or after the node has detected the
+  // exit, some of them while grants, releases or heartbeats of the previous incarnation are in
+  // flight; or workers accept no new connections for a while but keep serving.
   void WorkerProcesses(Duration at) {
     for (const size_t node : SomeNodes(1 + random_.Below(3), Coin() ? "keyed" : "")) {
       const size_t kind = random_.Below(4);
@@ -245,7 +247,7 @@
     }
   }
 
-  // Beside changes that the copy does not have, some of which are under way.
+  // Restores an old copy of the store around changes that the copy lacks, some still in progress.
   void StoreRestored(Duration at) {
     const Duration away = Time(100, 2500);
     AddRestore(at, away);
@@ -273,7 +275,8 @@
     Add(fault);
   }
 
-  // Some of them while keys move away from the worker, or its node or itself starts again.
+  // Duplicate responses, some while keys move away from the worker or while the worker or its node
+  // restarts.
   void SecondAnswers(Duration at) {
     for (const size_t node : SomeNodes(1 + random_.Below(Half()), Coin() ? "keyed" : "")) {
       Add(FaultKind::kWorkerAnswersTwice, at, Time(1500, 6000), node);
@@ -302,7 +305,7 @@
     }
   }
 
-  // As when a device on the way forgets the connections that it has passed on.
+  // Simulates a network device, such as a NAT or firewall, that loses its connection table.
   void SilentConnections(Duration at) {
     constexpr std::array<FaultKind, 3> kKinds{
         FaultKind::kStoreConnections, FaultKind::kNodeConnections, FaultKind::kWorkerConnections};
--- a/tests/soak/fault_plan.h
+++ b/tests/soak/fault_plan.h
@@ -1,5 +1,5 @@
-// Draws the faults of a run from its seed: what, to whom, when, for how long. Free of input and
-// output; the same seed gives the same plan on every machine.
+// Generates the fault schedule of a run from its seed: kind, target, start and duration of each
+// fault. Performs no I/O; a seed gives the same plan on every machine.
 #pragma once
 
 #include <cstdint>
@@ -12,31 +12,34 @@
 
 namespace runshelf::soak {
 
+// A scheduled fault; `time` is its duration.
 struct PlannedFault {
   Duration at{0};  // From the start of the run.
   Duration time{0};
   FaultKind kind = FaultKind::kKillProcess;
   size_t node = 0;
-  size_t peer = 0;                                  // Of kPairPath: the other end.
-  FaultProxy::Mode mode = FaultProxy::Mode::kPass;  // Of ways, and of kStoreTurnsAway.
-  Duration delay{0};                                // Of ways that are slow.
-  bool leases_wait = false;  // Of faults of the whole store: no lease runs out meanwhile.
-  Duration copy_age{0};      // Of kStoreRestored: from the copy to the beginning of the fault.
+  size_t peer = 0;                                  // kPairPath: the other end.
+  FaultProxy::Mode mode = FaultProxy::Mode::kPass;  // For network paths and kStoreTurnsAway.
+  Duration delay{0};                                // For network paths in mode kDelay.
+  bool leases_wait = false;  // For store faults: no lease expires during the fault.
+  Duration copy_age{0};      // kStoreRestored: age of the copy at the start of the fault.
 };
 
-// One line, for results.
+// One-line description for result files.
 std::string Describe(const PlannedFault& fault);
 
+// Parameters of a plan. Faults lie between `first` and `last`; only workers that deregister may
+// take longer to finish.
 struct FaultPlanInput {
   uint64_t seed = 1;
-  std::vector<std::string> services;  // Of the workers, by node.
-  Duration first{0};                  // No fault begins before this,
-  Duration last{0};                   // or ends after it, but for workers that leave.
-  bool store_restores = false;        // The store comes back from older copies of its data.
-  bool second_answers = false;        // Workers answer twice.
+  std::vector<std::string> services;  // Service of the worker, by node.
+  Duration first{0};                  // Earliest start of a fault.
+  Duration last{0};                   // Latest end of a fault.
+  bool store_restores = false;        // Include kStoreRestored.
+  bool second_answers = false;        // Include kWorkerAnswersTwice.
 };
 
-// In the order of their beginnings. Faults come in series, which overlap.
+// Returns the faults sorted by start time. They are generated in series, which overlap.
 std::vector<PlannedFault> MakeFaultPlan(const FaultPlanInput& input);
 
 }  // namespace runshelf::soak
--- a/tests/soak/ownership_judge.cc
+++ b/tests/soak/ownership_judge.cc
@@ -7,7 +7,7 @@
 namespace runshelf::soak {
 namespace {
 
-// Overlaps shorter than this break no promise of the users' pages (half a second).
+// Longest overlap of ownership that the user documentation permits (half a second).
 constexpr Duration kAllowedOverlap = std::chrono::milliseconds(500);
 
 bool SameGrant(const HeldKeys& left, const HeldKeys& right) {
@@ -52,9 +52,9 @@
                      [key](const KeyRange& keys) { return keys.Contains(key); });
 }
 
-// Another life of a worker is another worker, also where both have one identity: it needs a higher
-// token. A grant that was taken late may be older than what others hold by now, unless the worker
-// answered a release after it had come.
+// A restarted worker counts as another worker even if it keeps its identity, so it needs a higher
+// token. A grant that was applied late may be older than the current grants of other workers,
+// unless the worker acknowledged a release after it had received the grant.
 void OwnershipJudge::CheckToken(const std::string& worker, const HeldKeys& grant,
                                 OrderArrival arrival) {
   bool reported = false;
@@ -120,8 +120,8 @@
   released_.erase(worker);
 }
 
-// A grant taken shortly after a thaw is held against nobody; one taken late only counts when both
-// workers begin requests.
+// Grants applied shortly after a resume are ignored; grants applied late only count once both
+// workers have begun requests.
 bool OwnershipJudge::HoldsBy(Instant now, const std::string& worker, uint32_t key,
                              bool timely) const {
   const auto grants = grants_.find(worker);
@@ -173,7 +173,7 @@
       if (!CoveredInTime(now, left.worker, &keys)) continue;
       if (!CoveredInTime(now, right.worker, &keys)) continue;
       SharedKeys shared{keys, now, false};
-      // Shared before, in whole or in part: it began then.
+      // An overlap that continues an earlier one, even partly, keeps its start time.
       for (const SharedKeys& earlier : before) {
         if (!earlier.keys.Overlaps(keys)) continue;
         shared.keys = Intersection(earlier.keys, keys);
--- a/tests/soak/ownership_judge.h
+++ b/tests/soak/ownership_judge.h
@@ -1,5 +1,5 @@
-// Judges whether keys ever had two owners, from what the workers saw. Free of input and output;
-// times are given by the caller and belong to one clock.
+// Checks, from the observations of workers, that no key ever has two owners. Performs no I/O; the
+// caller supplies all timestamps, taken from one clock.
 #pragma once
 
 #include <array>
@@ -15,58 +15,61 @@
 
 constexpr uint32_t kKeyCount = 65536;
 
+// A closed range of keys.
 struct KeyRange {
   uint32_t first = 0;
-  uint32_t last = 0;  // Inside.
+  uint32_t last = 0;  // Inclusive.
 
   bool Contains(uint32_t key) const { return first <= key && key <= last; }
   bool Overlaps(const KeyRange& other) const { return first <= other.last && other.first <= last; }
 };
 
-// Keys that a worker holds until a moment, unless it lets them go earlier.
+// Keys that a worker owns until `until` unless it releases them earlier; `fence` is the fencing
+// token of the grant.
 struct HeldKeys {
   KeyRange keys;
   uint64_t fence = 0;
   Instant until{};
 };
 
-// How an order of keys came to be carried out.
+// Whether a grant or release was applied on time or delayed.
 enum class OrderArrival {
-  kTimely,     // When it was sent.
-  kHeldUp,     // Something on its way held it back.
-  kAfterThaw,  // Shortly after its sender was thawed or its way was healed.
-  kTakenLate,  // The worker carried it out some time after it came.
+  kTimely,     // Applied when it was sent.
+  kHeldUp,     // Delayed on the path between node and worker.
+  kAfterThaw,  // Applied shortly after its sender was resumed or its path recovered.
+  kTakenLate,  // Applied by the worker some time after receipt.
 };
 
-// A worker's account of its keys at one moment.
+// The keys a worker owns at one moment, as the worker reports them.
 struct WorkerHoldings {
   std::string worker;
   std::vector<HeldKeys> held;
 };
 
-// Each worker is one life: a worker that starts again has another name here, whatever it calls
-// itself.
+// Tracks grants, releases and running requests per worker incarnation: a restarted worker counts as
+// a different worker with a different name, even if it keeps its identity.
 class OwnershipJudge {
  public:
-  // A worker took keys. The token must be above those with which others held them, unless the grant
-  // was taken late and the worker has not answered a release meanwhile, which could have carried a
-  // higher token. Nobody else may still be at work on them under a lease.
+  // A worker applied a grant. Its fencing token must be higher than those of other workers' grants
+  // for the same keys, unless the grant was applied late and the worker has not acknowledged a
+  // release since, which could have carried a higher token. No other worker may still be processing
+  // requests for these keys under a valid lease.
   void OnGrant(Instant now, const std::string& worker, const HeldKeys& grant, OrderArrival arrival);
-  // A worker answered a release.
+  // A worker acknowledged a release.
   void OnReleased(const std::string& worker, const KeyRange& keys) {
     released_[worker].push_back(keys);
   }
-  // A worker begins a request on a key that it holds until `lease_end`. `others`: the workers that
-  // hold the key at this moment as well.
+  // A worker begins a request for a key that it owns until `lease_end`. `others`: other workers
+  // that own the key at this moment.
   void OnRunBegan(Instant now, const std::string& worker, uint32_t key, Instant lease_end,
                   const std::vector<std::string>& others);
   void OnRunEnded(const std::string& worker, uint32_t key);
   void OnWorkerEnded(const std::string& worker);
-  // What all workers hold now. Call often: how long two of them hold the same keys is measured from
-  // call to call.
+  // Compares the keys that all workers own now. Must be called frequently, because the duration of
+  // an overlap is measured between calls.
   void Check(Instant now, const std::vector<WorkerHoldings>& workers);
 
-  // One line for each finding, in the order in which they were seen.
+  // One line per violation, in the order of detection.
   const std::vector<std::string>& violations() const { return violations_; }
 
  private:
@@ -75,7 +78,7 @@
     HeldKeys held;
     OrderArrival arrival = OrderArrival::kTimely;
   };
-  // Of one key: the grant with the highest token so far.
+  // The grant with the highest fencing token so far for one key.
   struct Latest {
     std::string worker;
     HeldKeys held;
@@ -84,7 +87,7 @@
     uint32_t key = 0;
     Instant lease_end{};
   };
-  // Keys that two workers hold at the same time.
+  // Keys that two workers own at the same time.
   struct SharedKeys {
     KeyRange keys;
     Instant since{};
@@ -96,18 +99,18 @@
   void CheckWorkUnderWay(Instant now, const std::string& worker, const HeldKeys& grant);
   void ComparePair(Instant now, const WorkerHoldings& left, const WorkerHoldings& right);
   void Remember(const std::string& worker, const HeldKeys& grant, OrderArrival arrival);
-  // By a grant that came in time; `keys` is narrowed to what it covers.
+  // Whether a timely, unexpired grant covers some of `keys`; narrows `keys` to the covered part.
   bool CoveredInTime(Instant now, const std::string& worker, KeyRange* keys) const;
   bool HoldsBy(Instant now, const std::string& worker, uint32_t key, bool timely) const;
 
   std::array<Latest, kKeyCount> latest_;
   std::map<std::string, std::vector<Grant>> grants_;       // By worker.
-  std::map<std::string, std::vector<KeyRange>> released_;  // Since they were granted, by worker.
+  std::map<std::string, std::vector<KeyRange>> released_;  // Since the last grant, by worker.
   std::map<std::string, std::vector<Run>> runs_;           // By worker.
-  std::map<Pair, std::vector<SharedKeys>> shared_;         // By grants that came in time.
-  std::map<Pair, Instant> sharing_since_;                  // By any grants.
-  std::map<Pair, std::pair<Instant, uint32_t>> begun_;  // The first's latest request on a key that
-                                                        // the second held too.
+  std::map<Pair, std::vector<SharedKeys>> shared_;         // From timely grants only.
+  std::map<Pair, Instant> sharing_since_;                  // From all grants.
+  std::map<Pair, std::pair<Instant, uint32_t>> begun_;     // Latest request of the first worker for
+                                                           // a key the second one owned too.
   std::vector<std::string> violations_;
 };
 
--- a/tests/soak/promise_judge.cc
+++ b/tests/soak/promise_judge.cc
@@ -10,7 +10,7 @@
 constexpr int kFirstSuccess = 200;
 constexpr int kAfterSuccess = 300;
 
-// Statuses that promise that the request has not run and never will.
+// Statuses which guarantee that the request was not and will not be executed.
 bool PromisesNotRun(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
@@ -77,7 +77,7 @@
   }
 }
 
-// An answer in the name of a worker is that worker's.
+// A response that carries a worker's stamp must match the status which that worker sent.
 void PromiseJudge::CheckStamp(const Request& request, const ReceivedAnswer& answer) {
   if (answer.worker_stamp.empty()) return;
   const auto status = request.statuses.find(answer.worker_stamp);
--- a/tests/soak/promise_judge.h
+++ b/tests/soak/promise_judge.h
@@ -1,6 +1,6 @@
-// Judges single requests, and the processes, against the promises of the users' pages: what callers
-// and workers see of them. Free of input and output. What spans several requests has judges of its
-// own, beside this one.
+// Checks single requests and process exits against the guarantees of the user documentation, from
+// the observations of callers and workers. Performs no I/O. Guarantees that span several requests
+// are checked by the other judges in this directory.
 #pragma once
 
 #include <cstdint>
@@ -18,11 +18,11 @@
   std::string id;
   std::string target;
   std::string body;
-  std::string caller_service;  // Of the node that it was sent to.
+  std::string caller_service;  // Service of the node that received it.
   bool repeatable = false;
 };
 
-// A request as a worker began to run it.
+// A request as received by the worker that began to process it.
 struct Execution {
   std::string id;
   std::string target;
@@ -32,36 +32,37 @@
   std::string service;
 };
 
-// The final answer that a caller got.
+// The final response that a caller received.
 struct ReceivedAnswer {
   std::string id;
   int status = 0;
   std::string body;
-  std::string worker_stamp;  // Names the worker; empty when the answer is not a worker's.
+  std::string worker_stamp;  // Name of the worker; empty for responses of a node.
 };
 
+// Follows each request from caller to worker and back, and reports violated guarantees.
 class PromiseJudge {
  public:
   void OnSent(const SentRequest& request);
   void OnExecuted(const Execution& execution);
-  // A worker gives its answer to a request that it ran.
+  // A worker responded to a request that it had processed.
   void OnWorkerAnswered(const std::string& id, const std::string& worker, int status);
   void OnAnswer(const ReceivedAnswer& answer);
-  // The caller waited for its whole deadline and more; nothing came, not even an end.
+  // Well after its deadline the caller had received neither a response nor a close.
   void OnNoAnswer(const std::string& id);
-  // A process ended that nobody had asked to end.
+  // A process exited unexpectedly.
   void OnProcessEnded(const std::string& node, int exit);
 
-  // One line for each broken promise, in the order in which they were seen.
+  // One line per violation, in the order of detection.
   const std::vector<std::string>& violations() const { return violations_; }
   uint64_t executions() const { return executions_; }
 
  private:
   struct Request {
     SentRequest sent;
-    std::vector<std::string> workers;     // That ran it.
-    std::map<std::string, int> statuses;  // That workers answered with.
-    std::optional<int> promised;          // A status that promises that it has not run.
+    std::vector<std::string> workers;     // Workers that processed it.
+    std::map<std::string, int> statuses;  // Response status by worker.
+    std::optional<int> promised;          // A status that rules out execution.
   };
 
   void CheckStamp(const Request& request, const ReceivedAnswer& answer);
@@ -72,7 +73,7 @@
   uint64_t executions_ = 0;
 };
 
-// The body of the answer of a worker to a request, by which both are known.
+// The response body that identifies both the worker and the request.
 std::string ExpectedAnswerBody(const std::string& worker, const std::string& id,
                                const std::string& body);
 
