--- a/tests/soak/fatal_requests.cc
+++ b/tests/soak/fatal_requests.cc
@@ -9,12 +9,12 @@
 
 using std::chrono::milliseconds;
 
-// Once the fleet is up.
+// Delay of the first request, by which the fleet is up.
 constexpr Duration kFirst = std::chrono::seconds(7);
 constexpr Duration kShortestInterval = milliseconds(50);
 constexpr Duration kLongestInterval = milliseconds(900);
 constexpr Duration kDeadline = milliseconds(2000);
-// One that any worker may run again, one that must run once, and one of a key.
+// An idempotent route, a non-idempotent one, and one with shard keys.
 constexpr const char* kRoutes[] = {"read", "send", "keyed"};
 constexpr uint32_t kFatalKey = 51364;
 
--- a/tests/soak/fatal_requests.h
+++ b/tests/soak/fatal_requests.h
@@ -1,4 +1,4 @@
-// Requests that crash the worker that begins them, and come again and again at any node.
+// Sends requests that crash the worker that processes them, repeatedly and through random nodes.
 #pragma once
 
 #include <cstdint>
@@ -15,9 +15,10 @@
 
 namespace runshelf::soak {
 
+// A load generator for fatal requests at random intervals.
 class FatalRequests {
  public:
-  // `nodes` must outlive this.
+  // `nodes` must outlive this object.
   FatalRequests(event::EventLoop& loop, Witness& witness,
                 const std::vector<std::unique_ptr<SoakNode>>& nodes, uint64_t seed);
 
@@ -31,7 +32,7 @@
   };
 
   void Send();
-  // Always with the same path, key and body.
+  // All requests of a route have the same path, key and body.
   Attempt MakeAttempt(const SoakNode& node, http::RequestHead* head);
 
   event::EventLoop& loop_;
--- a/tests/soak/fault_driver.cc
+++ b/tests/soak/fault_driver.cc
@@ -9,15 +9,15 @@
 using platform_adapter::FakeStore;
 using Mode = FaultProxy::Mode;
 
-// A worker serves on for a while after its time to drain.
+// How long a worker keeps serving after its drain time-out.
 constexpr Duration kServesOn = std::chrono::milliseconds(1500);
-// A leaving worker that nobody acknowledges ends all the same.
+// A worker exits after this time even if its deregistration is not acknowledged.
 constexpr Duration kLongestLeave = std::chrono::seconds(8);
 constexpr Duration kCopyInterval = std::chrono::milliseconds(250);
-// Longer than the oldest copy that a plan restores, and its fault.
+// Longer than the maximum age of a restored copy plus the duration of the fault.
 constexpr Duration kCopyKept = std::chrono::seconds(13);
 
-// What the store does to a node that it turns away.
+// Maps a proxy mode to the store's behaviour towards a node that it rejects.
 FakeStore::Fault EntranceFault(Mode mode) {
   switch (mode) {
     case Mode::kPass:
@@ -218,7 +218,7 @@
     case FaultKind::kStoreConnections:
     case FaultKind::kNodeConnections:
     case FaultKind::kWorkerConnections:
-      // For the rules of the users this counts as a reset of the connections of all machines.
+      // The user documentation treats this like a connection reset on all machines.
       for (const auto& other : fleet_.nodes()) witness_.Disturb(other->index, /*planned=*/false);
       return ProxyOf(node, fault.kind).SilenceOpenConnections();
     case FaultKind::kWorkerCrash:
@@ -323,7 +323,7 @@
   const auto after =
       std::find_if(store_copies_.begin(), store_copies_.end(),
                    [taken_at](const StoreCopy& copy) { return copy.taken_at > taken_at; });
-  // There is none so old: the oldest one.
+  // Falls back to the oldest copy if none is old enough.
   const auto chosen = after == store_copies_.begin() ? after : std::prev(after);
   fleet_.store().Restore(*chosen->copy);
 }
--- a/tests/soak/fault_driver.h
+++ b/tests/soak/fault_driver.h
@@ -1,4 +1,4 @@
-// Carries a plan of faults out on the fleet.
+// Injects the faults of a plan into the fleet.
 #pragma once
 
 #include <deque>
@@ -15,15 +15,18 @@
 
 namespace runshelf::soak {
 
+// Starts and ends each planned fault on time. Where several faults of one kind affect the same
+// target, the one that began last determines the target's behaviour.
 class FaultDriver {
  public:
   FaultDriver(event::EventLoop& loop, SoakFleet& fleet, Witness& witness,
               std::vector<PlannedFault> plan, uint64_t seed);
   ~FaultDriver();
 
-  // The operator writes the first configuration; the faults begin at their times from now.
+  // Writes the operator's first configuration and schedules the faults relative to now.
   void Start();
-  // Call often: ends workers whose time to drain is over, and starts those that are due.
+  // Must be called frequently: stops drained workers, starts replacements that are due and copies
+  // the store.
   void Watch();
 
  private:
@@ -35,18 +38,19 @@
   void StartNext();
   void Begin(const PlannedFault& fault);
   void End(const PlannedFault& fault);
-  // The fault of this kind at this node that began last; nullptr when there is none.
+  // Returns the active fault of this kind at this node that began last, or nullptr.
   const PlannedFault* Latest(FaultKind kind, size_t node) const;
   void ApplyStore();
   void ApplyEntrance(size_t node);
-  // Whether the worker takes new connections.
+  // Sets whether the worker accepts new connections.
   void ApplyWorkerListener(size_t node);
   void ApplyPath(FaultKind kind, size_t node);
   void ApplyPair(size_t from, size_t to);
   void Kill(size_t node, Duration down);
   void Terminate(const PlannedFault& fault);
   void WriteConfiguration();
-  // Keeps copies of what the store holds, as old as a restore may need them.
+  // Copies the store's data periodically and keeps the copies for as long as a restore may need
+  // them.
   void TakeStoreCopy();
   void RestoreStore(const PlannedFault& fault);
 
@@ -54,14 +58,14 @@
   SoakFleet& fleet_;
   Witness& witness_;
   std::vector<PlannedFault> plan_;
-  size_t next_ = 0;  // In the plan.
+  size_t next_ = 0;  // Index into the plan.
   std::list<Active> active_;
-  std::vector<Instant> leaving_since_;  // By node; of its present worker.
+  std::vector<Instant> leaving_since_;  // When the node's current worker began to deregister.
   struct StoreCopy {
     Instant taken_at{};
     std::shared_ptr<const platform_adapter::FakeStore::Copy> copy;
   };
-  std::deque<StoreCopy> store_copies_;  // The oldest first.
+  std::deque<StoreCopy> store_copies_;  // Oldest first.
   OperatorConfigurations operators_;
   event::Timer next_timer_;
   Instant started_{};
--- a/tests/soak/fault_proxy.cc
+++ b/tests/soak/fault_proxy.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-// One connection of a caller and the one to the target that belongs to it.
+// A caller's connection and the matching connection to the target.
 class FaultProxy::Pair {
  public:
   Pair(FaultProxy* proxy, uint16_t port, std::unique_ptr<event::TcpStream> caller)
@@ -32,7 +32,7 @@
     to_caller_.stream->StartReading();
   }
 
-  // Asked for once, and only while sources have faults of their own.
+  // Looked up at most once, and only when sources have modes of their own.
   int source() {
     if (!source_.has_value()) {
       const auto& source_of = proxy_->identification_.source_of;
@@ -40,7 +40,7 @@
     }
     return *source_;
   }
-  // Something was kept back that should have passed, by a fault that may end.
+  // Whether data or a close was dropped by a fault that can end.
   bool held_back() const { return held_back_ && !silenced_; }
   void Silence() { silenced_ = true; }
   void ForgetRepetitions() {
@@ -49,13 +49,13 @@
   }
 
  private:
-  // What was read at one end and is to be written at the other.
+  // Data read from one end and queued for the other.
   struct Chunk {
     Instant due;
     std::string bytes;
   };
 
-  // One of the two connections.
+  // One of the two connections of a pair.
   struct End : public event::StreamObserver {
     End(Pair* owner, bool is_forward)
         : pair(owner), forward(is_forward), timer(owner->proxy_->loop_, [this] { WriteDue(); }) {}
@@ -64,7 +64,7 @@
     void OnData(std::string_view data) override { pair->Pass(this, data); }
     void OnEnd(event::StreamEnd) override { pair->OnEndOfEither(); }
 
-    // Bytes that are to be written to this end.
+    // Queues data to be written to this end at `due`.
     void Enqueue(Instant due, std::string_view data) {
       chunks.push_back({due, std::string(data)});
       WriteDue();
@@ -80,7 +80,7 @@
     }
 
     Pair* pair;
-    bool forward;  // Towards the target.
+    bool forward;  // Whether this is the connection to the target.
     std::unique_ptr<event::TcpStream> stream;
     std::deque<Chunk> chunks;
     event::Timer timer;
@@ -138,7 +138,7 @@
     answer_->append(data);
   }
 
-  // The rest of `answer` may be added meanwhile.
+  // `answer` is shared because the rest of the response may arrive before the timer fires.
   void RepeatLater(const Repetition& repetition, const std::shared_ptr<std::string>& answer) {
     if (repetition.after <= Duration(0)) return Repeat(repetition, *answer);
     std::erase_if(repetitions_, [](const auto& timer) { return !timer->active(); });
@@ -158,14 +158,14 @@
   }
 
   void OnEndOfEither() {
-    // While nothing passes, the end of a connection does not either.
+    // A fault that drops data also drops the close of a connection.
     if (Blocked(true) || Blocked(false)) {
       held_back_ = true;
       return;
     }
     const Fault& fault = proxy_->FaultOf(this);
     if (fault.mode == Mode::kDelay) {
-      // What was read before the end still arrives.
+      // Data read before the close is still delivered.
       end_timer_.Start(fault.delay + kLingerAfterDelay);
       return;
     }
@@ -173,14 +173,14 @@
   }
 
   FaultProxy* proxy_;
-  uint16_t port_;  // Of the caller.
+  uint16_t port_;  // The caller's port.
   std::optional<int> source_;
   End to_target_;
   End to_caller_;
   event::Timer end_timer_;
-  std::shared_ptr<std::string> answer_ = std::make_shared<std::string>();  // The latest one.
-  std::optional<Repetition> repetition_;                                   // Of that answer.
-  std::vector<std::unique_ptr<event::Timer>> repetitions_;                 // Under way.
+  std::shared_ptr<std::string> answer_ = std::make_shared<std::string>();  // Latest response.
+  std::optional<Repetition> repetition_;                                   // Of `answer_`.
+  std::vector<std::unique_ptr<event::Timer>> repetitions_;                 // Pending.
   bool held_back_ = false;
   bool silenced_ = false;
 };
@@ -232,7 +232,8 @@
 }
 
 void FaultProxy::SetModeFrom(int source, Mode mode, Duration delay) {
-  // Before the fault of the source is gone: the pairs that it held back are known by it.
+  // Runs before the source's fault is removed, while it still identifies the pairs whose data it
+  // dropped.
   std::erase_if(pairs_, [source, mode](const auto& pair) {
     const bool hit = mode == Mode::kReset || pair->held_back();
     return hit && pair->source() == source;
--- a/tests/soak/fault_proxy.h
+++ b/tests/soak/fault_proxy.h
@@ -1,4 +1,4 @@
-// A TCP proxy on the loopback interface that misbehaves on demand.
+// A TCP proxy on the loopback interface that injects network faults.
 #pragma once
 
 #include <functional>
@@ -14,16 +14,17 @@
 
 namespace runshelf::soak {
 
+// Forwards connections to one target and delays, drops, resets or duplicates traffic on request.
 class FaultProxy {
  public:
   enum class Mode {
-    kPass,          // Bytes pass both ways at once.
-    kDelay,         // Bytes pass late.
-    kReset,         // Connections are broken, new ones as well.
-    kSilent,        // Nothing passes; connections stay open.
-    kForwardOnly,   // Bytes pass to the target, none come back.
-    kBackwardOnly,  // Bytes pass to the caller, none to the target.
-    kResetNew,      // New connections are reset at once; those that are open pass.
+    kPass,          // Forwards both directions immediately.
+    kDelay,         // Forwards both directions with a delay.
+    kReset,         // Resets open and new connections.
+    kSilent,        // Forwards nothing; connections stay open.
+    kForwardOnly,   // Forwards to the target only.
+    kBackwardOnly,  // Forwards to the caller only.
+    kResetNew,      // Resets new connections at once; open ones work.
   };
 
   FaultProxy(event::EventLoop& loop, event::Endpoint target);
@@ -33,15 +34,15 @@
 
   // Listens on a free port of `ip`; returns zero or a negative libuv error code.
   int Listen(const std::string& ip);
-  // New connections are refused, as by a machine where nothing listens; those that are open pass.
+  // Closes the listening socket, so that new connections are refused; open ones work.
   void StopListening() { listener_.reset(); }
-  // Listens again on the former port; returns zero or a negative libuv error code.
+  // Listens again on the previous port; returns zero or a negative libuv error code.
   int ListenAgain();
   event::Endpoint endpoint() const { return {ip_, port_}; }
 
-  // Tells the connections of several sources apart. `port_of_latest` is asked while a connection is
-  // accepted, `source_of` when it matters where the connection from that port comes from;
-  // kUnknownSource when it cannot tell.
+  // Identifies the source of a connection. `port_of_latest` returns the caller's port and is called
+  // while a connection is accepted. `source_of` maps that port to a source, or to kUnknownSource,
+  // and is called only when the source of a connection is needed.
   static constexpr int kUnknownSource = -1;
   struct Identification {
     std::function<uint16_t()> port_of_latest;
@@ -51,29 +52,29 @@
     identification_ = std::move(identification);
   }
 
-  // Of all connections. Those on which bytes were held back are broken when the fault ends: on a
-  // real network they would be late or lost, never out of order.
+  // Sets the mode of all connections. Connections on which data was dropped are closed when the
+  // mode changes: TCP may deliver data late or not at all, but never with gaps.
   void SetMode(Mode mode, Duration delay = Duration(0));
-  // Of the connections of one source; goes before the mode of all. kPass takes it away.
+  // Sets the mode for one source, which overrides the general mode; kPass removes the override.
   void SetModeFrom(int source, Mode mode, Duration delay = Duration(0));
-  // The connections that are open now say nothing more, not even that they end; new ones pass.
+  // Stalls all open connections for good, without forwarding even their close; new ones work.
   void SilenceOpenConnections();
-  // How an answer of the target is said a second time. A connection carries one exchange at a time,
-  // so what the target says between two requests is one answer.
+  // How a response of the target is sent a second time. A connection carries one exchange at a
+  // time, so everything the target sends between two requests is one response.
   struct Repetition {
-    bool from_next_request =
-        false;  // Its time counts from the next request on the connection, else
-                // from the answer, whether a request comes meanwhile or not.
+    // True: `after` counts from the next request on the connection. False: it counts from the
+    // response, regardless of requests in the meantime.
+    bool from_next_request = false;
     Duration after{0};
-    size_t first_piece = 0;      // Bytes that come before the others; zero: all at once.
-    Duration between_pieces{0};  // What the target says meanwhile comes after them.
-    std::string followed_by;     // Bytes right behind it.
+    size_t first_piece = 0;      // Bytes sent ahead of the rest; zero: all at once.
+    Duration between_pieces{0};  // Delay of the rest; data of the target queues behind it.
+    std::string followed_by;     // Bytes appended to the repeated response.
   };
-  // Asked at the beginning of each answer; nullopt: it is said once. When empty, none is said
-  // again.
+  // Called at the start of each response; nullopt: the response is not repeated. An empty function
+  // turns repetitions off and cancels pending ones.
   using NextRepetition = std::function<std::optional<Repetition>()>;
   void set_repetitions(NextRepetition next);
-  // Answers that were said a second time.
+  // Number of repeated responses.
   size_t repeated() const { return repeated_; }
   Mode mode() const { return fault_.mode; }
   Mode ModeOf(int source) const { return FaultFrom(source).mode; }
@@ -99,7 +100,7 @@
   std::list<std::unique_ptr<Pair>> pairs_;
   Identification identification_;
   Fault fault_;
-  std::map<int, Fault> faults_from_;  // By source.
+  std::map<int, Fault> faults_from_;  // Modes by source.
   NextRepetition next_repetition_;
   size_t repeated_ = 0;
 };
--- a/tests/soak/operator_configurations.cc
+++ b/tests/soak/operator_configurations.cc
@@ -7,7 +7,7 @@
 
 using nlohmann::json;
 
-// Versions rise in uneven steps.
+// Versions rise in random steps of up to this size.
 constexpr uint64_t kLargestStep = 9;
 constexpr int kTargetLatencyMs = 1000;
 constexpr int kMaxAttempts = 2;
--- a/tests/soak/operator_configurations.h
+++ b/tests/soak/operator_configurations.h
@@ -1,5 +1,5 @@
-// Writes configurations as the platform's operator does: each one adds, splits, moves or removes
-// routes.
+// Generates route configurations as a platform operator would write them; each one adds, splits,
+// moves or removes a route.
 #pragma once
 
 #include <map>
@@ -11,22 +11,23 @@
 
 namespace runshelf::soak {
 
-// The longest that the operator wants a request held, on every route.
+// The request time-out of every route.
 constexpr Duration kRouteTimeout = std::chrono::milliseconds(1500);
 
-// Routes by the first part of their path. "send", "note" and "order" take requests that may run
-// once; "order" and "keyed" those with keys; workers call "inner" and "note". "extra" comes and
-// goes.
+// A configuration and the services that it allows. Routes are named by their first path segment:
+// "send", "note" and "order" are non-idempotent; "order" and "keyed" use shard keys; "inner" and
+// "note" are called by workers; "extra" is added and removed over time.
 struct WrittenConfiguration {
-  std::string text;  // As it stands in the store.
+  std::string text;  // JSON as written to the store.
   AllowedServices allowed;
 };
 
+// Generates a sequence of configurations with rising versions, determined by the seed.
 class OperatorConfigurations {
  public:
   explicit OperatorConfigurations(uint64_t seed) : random_(seed) {}
 
-  // The first one has every route but "extra", none of them split.
+  // Returns the next configuration. The first one has every route except "extra", all unsplit.
   WrittenConfiguration Next();
 
  private:
--- a/tests/soak/second_answers.cc
+++ b/tests/soak/second_answers.cc
@@ -8,16 +8,16 @@
 
 using std::chrono::milliseconds;
 
-// One of so many answers is said once.
+// One in this many responses is not repeated.
 constexpr uint64_t kSaidOnceEvery = 3;
 constexpr Duration kShortestLateness = milliseconds(1);
 constexpr Duration kLongestLateness = milliseconds(2000);
-// Within the time that a worker takes for the next answer on the connection.
+// Shorter than the time a worker takes for the next response on the connection.
 constexpr Duration kLongestShortLateness = milliseconds(60);
 constexpr Duration kLongestBetweenPieces = milliseconds(20);
-// Longer than the head of an answer, so that some break within the body.
+// Longer than the header of a response, so that some splits fall within the body.
 constexpr uint64_t kLongestFirstPiece = 200;
-// Nothing of it is an answer; one piece looks like the beginning of one.
+// Data that is not a valid response; the last one looks like the start of a status line.
 constexpr std::array<const char*, 3> kNoAnswers{"\r\n", "no answer\r\n\r\n", "HTTP/1.1 "};
 
 }  // namespace
--- a/tests/soak/second_answers.h
+++ b/tests/soak/second_answers.h
@@ -1,4 +1,4 @@
-// Draws how the answers of a worker are said a second time.
+// Generates random duplicates of a worker's responses.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,12 @@
 
 namespace runshelf::soak {
 
+// Decides for each response whether and how the proxy repeats it; determined by the seed.
 class SecondAnswers {
  public:
   explicit SecondAnswers(uint64_t seed) : random_(seed) {}
 
-  // For the next answer; nullopt: it is said once.
+  // Returns how to repeat the next response; nullopt: not at all.
   std::optional<FaultProxy::Repetition> Next();
 
  private:
