--- a/tests/soak/abandonment_judge.h
+++ b/tests/soak/abandonment_judge.h
@@ -32,10 +32,10 @@
     bool repeatable = false;
   };
   std::map<std::string, Left> left_;
-  int begun_late_ = 0;  // Requests that reached a worker after the time limit.
-  int would_last_ = 0;  // Repeatable requests whose work would have outlasted it.
+  int begun_late_ = 0;   // Requests that reached a worker after the time limit.
+  int cancellable_ = 0;  // Repeatable requests whose work would have outlasted it.
   std::vector<std::string> violations_;
-  int worked_on_ = 0;  // Those of `would_last_` that were not cancelled in time.
+  int not_cancelled_ = 0;  // Those of `cancellable_` that were not cancelled in time.
 };
 
 }  // namespace runshelf::soak
--- a/tests/soak/configuration_judge.cc
+++ b/tests/soak/configuration_judge.cc
@@ -33,7 +33,7 @@
     return;
   }
   CheckApplied(request, *newest);
-  CheckNeverBack(request, *oldest, *newest);
+  CheckNoRollback(request, *oldest, *newest);
 }
 
 void ConfigurationJudge::CheckApplied(const HandledRequest& request, size_t newest) {
@@ -47,8 +47,8 @@
       ToMilliseconds(request.sent_at - configurations_[newest + 1].acknowledged)));
 }
 
-void ConfigurationJudge::CheckNeverBack(const HandledRequest& request, size_t oldest,
-                                        size_t newest) {
+void ConfigurationJudge::CheckNoRollback(const HandledRequest& request, size_t oldest,
+                                         size_t newest) {
   std::vector<Seen>& seen = seen_[{request.node, request.life}];
   const auto later = std::find_if(seen.begin(), seen.end(), [&](const Seen& earlier) {
     return earlier.oldest > newest && request.sent_at - earlier.seen_at > bounds_.rollback_slack;
--- a/tests/soak/configuration_judge.h
+++ b/tests/soak/configuration_judge.h
@@ -63,7 +63,7 @@
 
   bool Allows(const Configuration& configuration, const HandledRequest& request) const;
   void CheckApplied(const HandledRequest& request, size_t newest);
-  void CheckNeverBack(const HandledRequest& request, size_t oldest, size_t newest);
+  void CheckNoRollback(const HandledRequest& request, size_t oldest, size_t newest);
 
   ConfigurationBounds bounds_;
   std::vector<Configuration> configurations_;                 // In version order.
--- a/tests/soak/fatal_request_judge.cc
+++ b/tests/soak/fatal_request_judge.cc
@@ -6,25 +6,25 @@
 namespace {
 
 // Worker crashes after which a request counts as fatal.
-constexpr size_t kEndsThatShow = 3;
+constexpr size_t kCrashThreshold = 3;
 // Time within which nodes unaffected by faults must learn that a request is fatal.
-constexpr Duration kTimeToLearn = std::chrono::seconds(3);
+constexpr Duration kPropagationTime = std::chrono::seconds(3);
 // Runs tolerated after that time.
-constexpr int kLaterRuns = 3;
+constexpr int kAllowedLaterRuns = 3;
 
 }  // namespace
 
 void FatalRequestJudge::OnBegan(const FatalRun& run) {
   Request& request = requests_[run.target];
   request.runs.push_back(run);
-  if (!run.in_touch || request.ends.size() < kEndsThatShow) return;
-  const Instant shown_at = request.ends[kEndsThatShow - 1];
-  if (run.at - shown_at <= kTimeToLearn) return;
-  if (++request.begun_too_late <= kLaterRuns) return;
+  if (!run.in_touch || request.ends.size() < kCrashThreshold) return;
+  const Instant known_at = request.ends[kCrashThreshold - 1];
+  if (run.at - known_at <= kPropagationTime) return;
+  if (++request.begun_too_late <= kAllowedLaterRuns) return;
   violations_.push_back(
       fmt::format("budget: {} began once more, {} ms after the third worker had ended under it; {} "
                   "ended so far, {} began so late; runs:{}",
-                  run.target, ToMilliseconds(run.at - shown_at), request.ends.size(),
+                  run.target, ToMilliseconds(run.at - known_at), request.ends.size(),
                   request.begun_too_late, History(request)));
 }
 
--- a/tests/soak/loss_judge.cc
+++ b/tests/soak/loss_judge.cc
@@ -8,29 +8,29 @@
 namespace {
 
 // A stop is considered in progress until this long after the grace period (user documentation).
-constexpr Duration kAfterGrace = std::chrono::seconds(1);
+constexpr Duration kStopMargin = std::chrono::seconds(1);
 // Requests sent within this time after SIGTERM may outlast the grace period.
-constexpr Duration kSentEarly = std::chrono::seconds(3);
+constexpr Duration kLongRequestWindow = std::chrono::seconds(3);
 // Work still running in the last sixth (1/6) of the grace period does not count as lost.
-constexpr int kLastPartOfGrace = 6;
+constexpr int kFinalGraceDivisor = 6;
 // A node measures a deadline from reading the request, in whole milliseconds.
 constexpr Duration kDeadlineRounding = std::chrono::milliseconds(50);
 // Forwarded requests on keep-alive connections that a node may drop outside of stops and reloads.
-constexpr int kAllowedInPeace = 3;
+constexpr int kAllowedOutsideStops = 3;
 
-bool WorkBrokeOff(const FinishedAttempt& attempt) {
+bool WorkAborted(const FinishedAttempt& attempt) {
   return std::any_of(attempt.work.begin(), attempt.work.end(), [](const Work& work) {
     return work.ended.has_value() && work.end == WorkEnd::kBrokenOff;
   });
 }
 
-bool WorkGoesOn(const FinishedAttempt& attempt) {
+bool WorkUnfinishedOrCancelled(const FinishedAttempt& attempt) {
   return std::any_of(attempt.work.begin(), attempt.work.end(), [](const Work& work) {
     return !work.ended.has_value() || work.end == WorkEnd::kCancelled;
   });
 }
 
-bool AtWorkAt(const FinishedAttempt& attempt, Instant moment) {
+bool InProgressAt(const FinishedAttempt& attempt, Instant moment) {
   return std::any_of(attempt.work.begin(), attempt.work.end(), [&](const Work& work) {
     return work.ended.value_or(attempt.ended_at) >= moment;
   });
@@ -44,7 +44,7 @@
   if (stops == stops_.end()) return std::nullopt;
   for (const Instant stop : stops->second) {
     const bool within =
-        stop <= attempt.ended_at && attempt.ended_at <= stop + bounds_.grace_period + kAfterGrace;
+        stop <= attempt.ended_at && attempt.ended_at <= stop + bounds_.grace_period + kStopMargin;
     if (within) return stop;
   }
   return std::nullopt;
@@ -60,9 +60,9 @@
 
 // Whether the node read the request but did not respond, or responded itself while a worker was
 // still processing it.
-bool LossJudge::IsCut(const FinishedAttempt& attempt) const {
+bool LossJudge::IsDropped(const FinishedAttempt& attempt) const {
   if (attempt.end == FinishedAttempt::End::kAnswered) {
-    return !attempt.by_worker && WorkGoesOn(attempt);
+    return !attempt.by_worker && WorkUnfinishedOrCancelled(attempt);
   }
   const bool passed_on = !attempt.work.empty();
   const bool read_long_ago = attempt.end == FinishedAttempt::End::kClosed &&
@@ -71,15 +71,15 @@
 }
 
 void LossJudge::OnFinished(const FinishedAttempt& attempt) {
-  if (attempt.disturbed || !IsCut(attempt) || WorkBrokeOff(attempt)) return;
+  if (attempt.disturbed || !IsDropped(attempt) || WorkAborted(attempt)) return;
   if (attempt.ended_at + kDeadlineRounding >= attempt.time_up) return;
   const std::optional<Instant> stop = StopAround(attempt);
   const bool answered = attempt.end == FinishedAttempt::End::kAnswered;
   const char* how = answered ? "was answered for its worker" : "got no answer";
   if (stop.has_value()) {
     const Instant last_part =
-        *stop + bounds_.grace_period - bounds_.grace_period / kLastPartOfGrace;
-    if (attempt.sent_at <= *stop + kSentEarly && AtWorkAt(attempt, last_part)) return;
+        *stop + bounds_.grace_period - bounds_.grace_period / kFinalGraceDivisor;
+    if (attempt.sent_at <= *stop + kLongRequestWindow && InProgressAt(attempt, last_part)) return;
     violations_.push_back(
         fmt::format("lost: {} {} at node {}, sent {} ms and ended {} ms after its SIGTERM, {}",
                     attempt.id, how, attempt.node, ToMilliseconds(attempt.sent_at - *stop),
@@ -89,12 +89,12 @@
     violations_.push_back(
         fmt::format("lost: {} {} at node {} around a SIGHUP", attempt.id, how, attempt.node));
   } else if (!answered && attempt.kept_connection && !attempt.work.empty()) {
-    OnClosedInPeace(attempt);
+    OnClosedOutsideStops(attempt);
   }
 }
 
-void LossJudge::OnClosedInPeace(const FinishedAttempt& attempt) {
-  if (++closed_in_peace_[attempt.node] <= kAllowedInPeace) return;
+void LossJudge::OnClosedOutsideStops(const FinishedAttempt& attempt) {
+  if (++closed_outside_stops_[attempt.node] <= kAllowedOutsideStops) return;
   violations_.push_back(fmt::format(
       "lost: node {} closed kept connections on requests that it had passed on, last {}",
       attempt.node, attempt.id));
--- a/tests/soak/loss_judge.h
+++ b/tests/soak/loss_judge.h
@@ -70,13 +70,13 @@
  private:
   std::optional<Instant> StopAround(const FinishedAttempt& attempt) const;
   bool ReloadAround(const FinishedAttempt& attempt) const;
-  bool IsCut(const FinishedAttempt& attempt) const;
-  void OnClosedInPeace(const FinishedAttempt& attempt);
+  bool IsDropped(const FinishedAttempt& attempt) const;
+  void OnClosedOutsideStops(const FinishedAttempt& attempt);
 
   LossBounds bounds_;
   std::map<size_t, std::vector<Instant>> stops_;
   std::map<size_t, std::vector<Instant>> reloads_;
-  std::map<size_t, int> closed_in_peace_;  // Count by node.
+  std::map<size_t, int> closed_outside_stops_;  // Count by node.
   std::vector<std::string> violations_;
 };
 
--- a/tests/soak/ownership_judge.cc
+++ b/tests/soak/ownership_judge.cc
@@ -25,15 +25,15 @@
                              OrderArrival arrival) {
   CheckToken(worker, grant, arrival);
   if (arrival == OrderArrival::kTimely) {
-    CheckWorkUnderWay(now, worker, grant);
+    CheckRunningRequests(now, worker, grant);
     std::erase_if(released_[worker],
                   [&](const KeyRange& keys) { return keys.Overlaps(grant.keys); });
   }
-  Remember(worker, grant, arrival);
+  RecordGrant(worker, grant, arrival);
 }
 
-void OwnershipJudge::Remember(const std::string& worker, const HeldKeys& grant,
-                              OrderArrival arrival) {
+void OwnershipJudge::RecordGrant(const std::string& worker, const HeldKeys& grant,
+                                 OrderArrival arrival) {
   std::vector<Grant>& grants = grants_[worker];
   const auto same = std::find_if(grants.begin(), grants.end(), [&](const Grant& known) {
     return known.arrival == arrival && SameGrant(known.held, grant);
@@ -72,8 +72,8 @@
   }
 }
 
-void OwnershipJudge::CheckWorkUnderWay(Instant now, const std::string& worker,
-                                       const HeldKeys& grant) {
+void OwnershipJudge::CheckRunningRequests(Instant now, const std::string& worker,
+                                          const HeldKeys& grant) {
   for (const auto& [other, runs] : runs_) {
     if (other == worker) continue;
     const auto found = std::find_if(runs.begin(), runs.end(), [&](const Run& run) {
@@ -89,13 +89,13 @@
                                 Instant lease_end, const std::vector<std::string>& others) {
   runs_[worker].push_back({key, lease_end});
   for (const std::string& other : others) {
-    if (HoldsBy(now, worker, key, /*timely=*/true) && HoldsBy(now, other, key, /*timely=*/true)) {
+    if (OwnsKey(now, worker, key, /*timely=*/true) && OwnsKey(now, other, key, /*timely=*/true)) {
       violations_.push_back(
           fmt::format("owner: {} runs a request of key {} that {} holds", worker, key, other));
       continue;
     }
-    if (!HoldsBy(now, worker, key, /*timely=*/false)) continue;
-    if (!HoldsBy(now, other, key, /*timely=*/false)) continue;
+    if (!OwnsKey(now, worker, key, /*timely=*/false)) continue;
+    if (!OwnsKey(now, other, key, /*timely=*/false)) continue;
     begun_[{worker, other}] = {now, key};
     const auto since = sharing_since_.find(std::minmax(worker, other));
     const auto opposite = begun_.find({other, worker});
@@ -122,7 +122,7 @@
 
 // Grants applied shortly after a resume are ignored; grants applied late only count once both
 // workers have begun requests.
-bool OwnershipJudge::HoldsBy(Instant now, const std::string& worker, uint32_t key,
+bool OwnershipJudge::OwnsKey(Instant now, const std::string& worker, uint32_t key,
                              bool timely) const {
   const auto grants = grants_.find(worker);
   if (grants == grants_.end()) return false;
@@ -133,7 +133,8 @@
   });
 }
 
-bool OwnershipJudge::CoveredInTime(Instant now, const std::string& worker, KeyRange* keys) const {
+bool OwnershipJudge::CoveredByTimelyGrant(Instant now, const std::string& worker,
+                                          KeyRange* keys) const {
   const auto grants = grants_.find(worker);
   if (grants == grants_.end()) return false;
   for (const Grant& grant : grants->second) {
@@ -170,8 +171,8 @@
       if (theirs.until <= now || !mine.keys.Overlaps(theirs.keys)) continue;
       sharing = true;
       KeyRange keys = Intersection(mine.keys, theirs.keys);
-      if (!CoveredInTime(now, left.worker, &keys)) continue;
-      if (!CoveredInTime(now, right.worker, &keys)) continue;
+      if (!CoveredByTimelyGrant(now, left.worker, &keys)) continue;
+      if (!CoveredByTimelyGrant(now, right.worker, &keys)) continue;
       SharedKeys shared{keys, now, false};
       // An overlap that continues an earlier one, even partly, keeps its start time.
       for (const SharedKeys& earlier : before) {
--- a/tests/soak/ownership_judge.h
+++ b/tests/soak/ownership_judge.h
@@ -96,12 +96,12 @@
 
   void CheckToken(const std::string& worker, const HeldKeys& grant, OrderArrival arrival);
   bool HasReleased(const std::string& worker, uint32_t key) const;
-  void CheckWorkUnderWay(Instant now, const std::string& worker, const HeldKeys& grant);
+  void CheckRunningRequests(Instant now, const std::string& worker, const HeldKeys& grant);
   void ComparePair(Instant now, const WorkerHoldings& left, const WorkerHoldings& right);
-  void Remember(const std::string& worker, const HeldKeys& grant, OrderArrival arrival);
+  void RecordGrant(const std::string& worker, const HeldKeys& grant, OrderArrival arrival);
   // Whether a timely, unexpired grant covers some of `keys`; narrows `keys` to the covered part.
-  bool CoveredInTime(Instant now, const std::string& worker, KeyRange* keys) const;
-  bool HoldsBy(Instant now, const std::string& worker, uint32_t key, bool timely) const;
+  bool CoveredByTimelyGrant(Instant now, const std::string& worker, KeyRange* keys) const;
+  bool OwnsKey(Instant now, const std::string& worker, uint32_t key, bool timely) const;
 
   std::array<Latest, kKeyCount> latest_;
   std::map<std::string, std::vector<Grant>> grants_;       // By worker.
--- a/tests/soak/promise_judge.cc
+++ b/tests/soak/promise_judge.cc
@@ -22,7 +22,7 @@
   return worker + "|" + id + "|" + body;
 }
 
-void PromiseJudge::Violate(const std::string& promise, const std::string& what) {
+void PromiseJudge::AddViolation(const std::string& promise, const std::string& what) {
   violations_.push_back(promise + ": " + what);
 }
 
@@ -32,22 +32,23 @@
   ++executions_;
   const auto found = requests_.find(execution.id);
   if (found == requests_.end()) {
-    Violate("unasked", "no caller sent " + execution.id);
+    AddViolation("unasked", "no caller sent " + execution.id);
     return;
   }
   Request& request = found->second;
   if (execution.target != request.sent.target || execution.body != request.sent.body) {
-    Violate("unasked", execution.id + " was changed on the way");
+    AddViolation("unasked", execution.id + " was changed on the way");
   }
   if (execution.caller_service != request.sent.caller_service) {
-    Violate("unasked", fmt::format("{} ran for caller service '{}', sent by '{}'", execution.id,
-                                   execution.caller_service, request.sent.caller_service));
+    AddViolation("unasked",
+                 fmt::format("{} ran for caller service '{}', sent by '{}'", execution.id,
+                             execution.caller_service, request.sent.caller_service));
   }
   request.workers.push_back(execution.worker);
   if (request.sent.repeatable) return;
-  if (request.workers.size() > 1) Violate("twice", execution.id + " ran more than once");
+  if (request.workers.size() > 1) AddViolation("twice", execution.id + " ran more than once");
   if (request.promised.has_value()) {
-    Violate("refused", fmt::format("{} ran after {}", execution.id, *request.promised));
+    AddViolation("refused", fmt::format("{} ran after {}", execution.id, *request.promised));
   }
 }
 
@@ -64,7 +65,8 @@
   if (PromisesNotRun(answer.status)) {
     request.promised = answer.status;
     if (!request.sent.repeatable && !request.workers.empty()) {
-      Violate("refused", fmt::format("{} had run and was answered {}", answer.id, answer.status));
+      AddViolation("refused",
+                   fmt::format("{} had run and was answered {}", answer.id, answer.status));
     }
     return;
   }
@@ -73,7 +75,7 @@
   const bool whole =
       answer.body == ExpectedAnswerBody(answer.worker_stamp, answer.id, request.sent.body);
   if (ran == request.workers.end() || !whole) {
-    Violate("mixed", answer.id + " got an answer that no worker gave to it");
+    AddViolation("mixed", answer.id + " got an answer that no worker gave to it");
   }
 }
 
@@ -82,16 +84,16 @@
   if (answer.worker_stamp.empty()) return;
   const auto status = request.statuses.find(answer.worker_stamp);
   if (status != request.statuses.end() && status->second == answer.status) return;
-  Violate("mixed", fmt::format("{} got {} in the name of {}, which did not answer so", answer.id,
-                               answer.status, answer.worker_stamp));
+  AddViolation("mixed", fmt::format("{} got {} in the name of {}, which did not answer so",
+                                    answer.id, answer.status, answer.worker_stamp));
 }
 
 void PromiseJudge::OnNoAnswer(const std::string& id) {
-  Violate("unanswered", id + " had no end long after its deadline");
+  AddViolation("unanswered", id + " had no end long after its deadline");
 }
 
 void PromiseJudge::OnProcessEnded(const std::string& node, int exit) {
-  Violate("ended", fmt::format("{} ended by itself with {}", node, exit));
+  AddViolation("ended", fmt::format("{} ended by itself with {}", node, exit));
 }
 
 }  // namespace runshelf::soak
--- a/tests/soak/promise_judge.h
+++ b/tests/soak/promise_judge.h
@@ -66,7 +66,7 @@
   };
 
   void CheckStamp(const Request& request, const ReceivedAnswer& answer);
-  void Violate(const std::string& promise, const std::string& what);
+  void AddViolation(const std::string& promise, const std::string& what);
 
   std::map<std::string, Request> requests_;
   std::vector<std::string> violations_;
