--- a/tests/soak/fault_driver.cc
+++ b/tests/soak/fault_driver.cc
@@ -10,9 +10,9 @@
 using Mode = FaultProxy::Mode;
 
 // How long a worker keeps serving after its drain time-out.
-constexpr Duration kServesOn = std::chrono::milliseconds(1500);
+constexpr Duration kServiceAfterDrain = std::chrono::milliseconds(1500);
 // A worker exits after this time even if its deregistration is not acknowledged.
-constexpr Duration kLongestLeave = std::chrono::seconds(8);
+constexpr Duration kMaxDeregistrationTime = std::chrono::seconds(8);
 constexpr Duration kCopyInterval = std::chrono::milliseconds(250);
 // Longer than the maximum age of a restored copy plus the duration of the fault.
 constexpr Duration kCopyKept = std::chrono::seconds(13);
@@ -114,16 +114,16 @@
 void FaultDriver::ApplyStore() {
   FakeStore::Fault latest = FakeStore::Fault::kNone;
   bool leases_wait = false;
-  bool forgetful = false;
+  bool loses_history = false;
   for (const Active& active : active_) {
     const FakeStore::Fault fault = StoreFault(active.fault.kind);
     if (fault != FakeStore::Fault::kNone) latest = fault;
     leases_wait = leases_wait || active.fault.leases_wait;
-    forgetful = forgetful || active.fault.kind == FaultKind::kStoreForgetsHistory;
+    loses_history = loses_history || active.fault.kind == FaultKind::kStoreForgetsHistory;
   }
   fleet_.store().set_fault(latest);
   fleet_.store().SetLeasesWait(leases_wait);
-  fleet_.store().set_watches_silent(forgetful);
+  fleet_.store().set_watches_silent(loses_history);
 }
 
 void FaultDriver::ApplyEntrance(size_t node) {
@@ -344,8 +344,8 @@
     const auto acknowledged = node->worker->leaving_acknowledged_at();
     if (acknowledged.has_value()) witness_.OnLeaveAcknowledged(node->worker->life(), *acknowledged);
     const bool drained =
-        acknowledged.has_value() && now - *acknowledged > kDrainTimeout + kServesOn;
-    if (drained || now - leaving_since > kLongestLeave) fleet_.EndWorker(node.get());
+        acknowledged.has_value() && now - *acknowledged > kDrainTimeout + kServiceAfterDrain;
+    if (drained || now - leaving_since > kMaxDeregistrationTime) fleet_.EndWorker(node.get());
   }
 }
 
--- a/tests/soak/fault_plan.cc
+++ b/tests/soak/fault_plan.cc
@@ -21,7 +21,7 @@
 // How long a restarted node waits for the grants of its previous incarnation to expire before it
 // gives up the keys of a worker that it has not found: 3 s, plus 2%, plus 0.4 s. The plan brings
 // the store back at about that time.
-constexpr Duration kGivesUpAfter = milliseconds(3460);
+constexpr Duration kKeyGiveUpDelay = milliseconds(3460);
 // Longer than the longest lease of a node, 8 s, so that leases expire during the outage.
 constexpr Duration kPastLeases = milliseconds(9000);
 // Short enough for that lease to survive even if its last renewal was 2 s before the outage.
@@ -41,7 +41,7 @@
     // Uses a generator of its own, so that the series above stay the same for a given seed.
     random_ = SeededRandom(~input_.seed);
     for (at = input_.first; at < input_.last; at += Time(7000, 16000)) {
-      MovesWithOrdersOut(at + Time(0, 5000));
+      MovesWithUnacknowledgedOrders(at + Time(0, 5000));
     }
     random_ = SeededRandom(~input_.seed + 1);
     for (at = input_.first; at < input_.last; at += Time(2000, 7000)) WorkerProcesses(at);
@@ -63,17 +63,24 @@
 
   // Picks series without replacement: each occurs once before any is repeated.
   void DrawSeries(Duration at) {
-    if (waiting_.empty()) {
-      waiting_ = {
-          &Planner::SingleFault,        &Planner::SingleFault,        &Planner::RollingStops,
-          &Planner::StopsWithStoreAway, &Planner::StopsWithStoreAway, &Planner::KillsWithStoreAway,
-          &Planner::WorkersReplaced,    &Planner::Configurations,     &Planner::CrashWithOrdersOut,
-          &Planner::PairsCut,           &Planner::SilentConnections,  &Planner::StoreTurnsSomeAway,
-          &Planner::StoreInTrouble};
+    if (remaining_series_.empty()) {
+      remaining_series_ = {&Planner::SingleFault,
+                           &Planner::SingleFault,
+                           &Planner::RollingStops,
+                           &Planner::StopsDuringStoreOutage,
+                           &Planner::StopsDuringStoreOutage,
+                           &Planner::KillsDuringStoreOutage,
+                           &Planner::WorkersReplaced,
+                           &Planner::Configurations,
+                           &Planner::CrashWithUnacknowledgedOrders,
+                           &Planner::PairsCut,
+                           &Planner::SilentConnections,
+                           &Planner::StoreRejectsSomeNodes,
+                           &Planner::StoreMalfunctions};
     }
-    const size_t index = random_.Below(waiting_.size());
-    const Series series = waiting_[index];
-    waiting_.erase(waiting_.begin() + static_cast<std::ptrdiff_t>(index));
+    const size_t index = random_.Below(remaining_series_.size());
+    const Series series = remaining_series_[index];
+    remaining_series_.erase(remaining_series_.begin() + static_cast<std::ptrdiff_t>(index));
     (this->*series)(at);
   }
 
@@ -160,7 +167,7 @@
   }
 
   // Nodes stop while the store is unavailable, so they cannot announce it to other nodes there.
-  void StopsWithStoreAway(Duration at) {
+  void StopsDuringStoreOutage(Duration at) {
     const Duration outage = Time(5500, 8500);
     AddStoreOutage(at, outage);
     Duration stop = at + Time(0, 1000);
@@ -175,9 +182,9 @@
 
   // Nodes restart while the store is unavailable; it returns at about the time at which they give
   // up the keys of workers that they have not found.
-  void KillsWithStoreAway(Duration at) {
+  void KillsDuringStoreOutage(Duration at) {
     const Duration killed = at + Time(200, 1800);
-    const Duration back = killed + kGivesUpAfter + Time(-300, 900);
+    const Duration back = killed + kKeyGiveUpDelay + Time(-300, 900);
     AddStoreOutage(at, std::min(back - at, kWithinLeases));
     for (const size_t node : SomeNodes(1 + random_.Below(4), "keyed")) {
       Add(FaultKind::kKillProcess, killed + Time(-150, 150), Time(5, 60), node);
@@ -204,7 +211,7 @@
   }
 
   // A node is killed while its worker has unacknowledged grants or releases that it applies later.
-  void CrashWithOrdersOut(Duration at) {
+  void CrashWithUnacknowledgedOrders(Duration at) {
     for (const size_t node : SomeNodes(1 + random_.Below(3), "keyed")) {
       const Duration time = Time(1500, 4500);
       Add(FaultKind::kOrdersUnanswered, at, time, node);
@@ -216,7 +223,7 @@
   }
 
   // Keys move away from a worker with unacknowledged grants or releases that it applies later.
-  void MovesWithOrdersOut(Duration at) {
+  void MovesWithUnacknowledgedOrders(Duration at) {
     for (const size_t node : SomeNodes(1 + random_.Below(2), "keyed")) {
       Add(FaultKind::kOrdersUnanswered, at, Time(3000, 6000), node);
       const bool leaves = Coin();
@@ -255,7 +262,7 @@
     const Duration beside = at + Time(-3000, 1000);
     if (Coin()) WorkersReplaced(beside);
     if (Coin()) Configurations(beside);
-    if (Coin()) MovesWithOrdersOut(beside);
+    if (Coin()) MovesWithUnacknowledgedOrders(beside);
     if (random_.Below(4) == 0) RollingStops(beside);
     const size_t killed = random_.Below(4);
     if (killed == 0) Add(FaultKind::kKillAllProcesses, at + away + Time(-500, 500), Time(5, 500));
@@ -315,7 +322,7 @@
     }
   }
 
-  void StoreTurnsSomeAway(Duration at) {
+  void StoreRejectsSomeNodes(Duration at) {
     const Duration time = Time(2000, 9500);
     const Mode mode = AnyMode();
     const std::vector<size_t> nodes = SomeNodes(1 + random_.Below(Half()));
@@ -327,7 +334,7 @@
     if (Coin()) Configurations(at + Time(0, 2000));
   }
 
-  void StoreInTrouble(Duration at) {
+  void StoreMalfunctions(Duration at) {
     constexpr std::array<FaultKind, 3> kKinds{FaultKind::kStoreLosesAnswers,
                                               FaultKind::kStoreCarriesOutLate,
                                               FaultKind::kStoreForgetsHistory};
@@ -339,7 +346,7 @@
   const FaultPlanInput& input_;
   SeededRandom random_;
   std::vector<PlannedFault> plan_;
-  std::vector<Series> waiting_;
+  std::vector<Series> remaining_series_;
 };
 
 }  // namespace
