--- a/tests/soak/abandonment_judge_test.cc
+++ b/tests/soak/abandonment_judge_test.cc
@@ -21,7 +21,7 @@
   }
 };
 
-TEST(AbandonmentJudge, AFewMayComeLate) {
+TEST(AbandonmentJudge, FiveLateRequestsAreTolerated) {
   for (int number = 0; number < 6; ++number) judge.OnLeft(Id(number), left, true);
   for (int number = 0; number < 5; ++number) judge.OnBegan(Id(number), After(700), true);
   judge.OnBegan(Id(5), After(400), true);
@@ -32,19 +32,19 @@
   CHECK_EQUAL(1, judge.violations().size());
 }
 
-TEST(AbandonmentJudge, AQuarterMayGoOn) {
+TEST(AbandonmentJudge, AQuarterMayStayUncancelled) {
   Leave(2, /*repeatable=*/true);
   judge.Finish();
   CHECK(judge.violations().empty());
 }
 
-TEST(AbandonmentJudge, MoreThanAQuarterMayNot) {
+TEST(AbandonmentJudge, MoreThanAQuarterUncancelledIsAViolation) {
   Leave(3, /*repeatable=*/true);
   judge.Finish();
   CHECK_EQUAL(1, judge.violations().size());
 }
 
-TEST(AbandonmentJudge, WhatMayNotBeRepeatedMayRunOn) {
+TEST(AbandonmentJudge, NonIdempotentRequestsNeedNoCancellation) {
   Leave(8, /*repeatable=*/false);
   judge.Finish();
   CHECK(judge.violations().empty());
--- a/tests/soak/configuration_judge_test.cc
+++ b/tests/soak/configuration_judge_test.cc
@@ -32,7 +32,7 @@
   }
 };
 
-TEST(ConfigurationJudge, EitherMayBeInForceWithinTheBound) {
+TEST(ConfigurationJudge, OldAndNewConfigurationMayApplyWithinTheBound) {
   Handle(109, "read", "plain");
   Handle(111, "read", "plain");
   Handle(111.5, "read", "other");
@@ -40,7 +40,7 @@
   CHECK(judge.violations().empty());
 }
 
-TEST(ConfigurationJudge, AfterTheBoundOnlyTheNewOneMay) {
+TEST(ConfigurationJudge, OnlyTheNewConfigurationMayApplyAfterTheBound) {
   Handle(112.5, "read", "plain", 1, /*in_touch=*/false);
   CHECK(judge.violations().empty());
   Handle(112.5, "read", "plain");
@@ -49,7 +49,7 @@
   CHECK_EQUAL(2, judge.violations().size());
 }
 
-TEST(ConfigurationJudge, ALifeNeverGoesBack) {
+TEST(ConfigurationJudge, AProcessNeverRevertsToAnOlderConfiguration) {
   Handle(110.5, "read", "other", 1, /*in_touch=*/false);
   Handle(110.6, "read", "plain", 1, /*in_touch=*/false);  // Sent within the slack.
   Handle(111, "read", "plain", 2, /*in_touch=*/false);    // Another life.
@@ -58,7 +58,7 @@
   CHECK_EQUAL(1, judge.violations().size());
 }
 
-TEST(ConfigurationJudge, ADroppedRouteThatWasGoneStaysGone) {
+TEST(ConfigurationJudge, ARevertIsDetectedAfterARouteIsRemovedAgain) {
   judge.OnConfiguration(At(120), {{"read", {"other"}}});
   Handle(120.5, "new", std::nullopt, 1, /*in_touch=*/false);
   CHECK(judge.violations().empty());  // As before the second one, too.
@@ -67,7 +67,7 @@
   CHECK_EQUAL(1, judge.violations().size());
 }
 
-TEST(ConfigurationJudge, AServiceThatNoConfigurationNamesIsSeen) {
+TEST(ConfigurationJudge, AServiceThatNoConfigurationAllowsIsAViolation) {
   Handle(111, "read", "keyed");
   CHECK_EQUAL(1, judge.violations().size());
 }
--- a/tests/soak/drain_judge_test.cc
+++ b/tests/soak/drain_judge_test.cc
@@ -15,7 +15,7 @@
   }
 };
 
-TEST(DrainJudge, RequestsMayReachALeavingWorkerForATime) {
+TEST(DrainJudge, RequestsMayReachADeregisteringWorkerUntilTheDrainTimeout) {
   Begin("w1", 1900);
   Begin("w2", 5000);
   Begin("w1", 5000, /*in_touch=*/false);
@@ -24,7 +24,7 @@
   CHECK_EQUAL(1, judge.violations().size());
 }
 
-TEST(DrainJudge, TheFirstAcknowledgementBinds) {
+TEST(DrainJudge, TheFirstAcknowledgementStartsTheDrainTimeout) {
   judge.OnLeaveAcknowledged("w1", acknowledged + std::chrono::seconds(1));
   Begin("w1", 2500);
   CHECK_EQUAL(1, judge.violations().size());
--- a/tests/soak/fatal_request_judge_test.cc
+++ b/tests/soak/fatal_request_judge_test.cc
@@ -15,32 +15,32 @@
 TEST_GROUP(FatalRequestJudge) {
   FatalRequestJudge judge;
 
-  void RunAndEnd(Duration at, bool in_touch = true) {
+  void RunAndCrash(Duration at, bool in_touch = true) {
     judge.OnBegan({"/read/fatal", "w1", 1, kStart + at, in_touch});
     judge.OnEnded("/read/fatal", kStart + at);
   }
 };
 
-TEST(FatalRequestJudge, ThreeRunsAreAllowedLaterThanTheTimeToLearn) {
-  for (int second = 0; second < 3; ++second) RunAndEnd(seconds(second));
+TEST(FatalRequestJudge, ThreeRunsAreAllowedAfterThePropagationTime) {
+  for (int second = 0; second < 3; ++second) RunAndCrash(seconds(second));
   // Within the time to learn.
-  RunAndEnd(seconds(4));
-  for (int second = 6; second < 9; ++second) RunAndEnd(seconds(second));
+  RunAndCrash(seconds(4));
+  for (int second = 6; second < 9; ++second) RunAndCrash(seconds(second));
   CHECK_EQUAL(0U, judge.violations().size());
-  RunAndEnd(seconds(20));
+  RunAndCrash(seconds(20));
   CHECK_EQUAL(1U, judge.violations().size());
   STRCMP_CONTAINS("runs: w1 at 0 ms by n1, w1 at 1000 ms by n1,", judge.violations()[0].c_str());
   CHECK_EQUAL(8, judge.ends());
 }
 
-TEST(FatalRequestJudge, RunsThatAreNotHeldAgainstANodeDoNotCount) {
-  for (int second = 0; second < 3; ++second) RunAndEnd(seconds(second));
-  for (int second = 6; second < 20; ++second) RunAndEnd(seconds(second), /*in_touch=*/false);
+TEST(FatalRequestJudge, RunsThroughDisturbedNodesDoNotCount) {
+  for (int second = 0; second < 3; ++second) RunAndCrash(seconds(second));
+  for (int second = 6; second < 20; ++second) RunAndCrash(seconds(second), /*in_touch=*/false);
   CHECK_EQUAL(0U, judge.violations().size());
 }
 
-TEST(FatalRequestJudge, RequestsAreJudgedOneByOne) {
-  for (int second = 0; second < 3; ++second) RunAndEnd(seconds(second));
+TEST(FatalRequestJudge, CrashesAreCountedPerRequest) {
+  for (int second = 0; second < 3; ++second) RunAndCrash(seconds(second));
   for (int second = 6; second < 12; ++second) {
     judge.OnBegan({"/read/other", "w1", 1, kStart + seconds(second), /*in_touch=*/true});
   }
--- a/tests/soak/fault_plan_test.cc
+++ b/tests/soak/fault_plan_test.cc
@@ -33,7 +33,7 @@
   CHECK(Describe(Plan(8)[0]) != Describe(first[0]));
 }
 
-TEST(FaultPlan, FaultsStayWithinTheirTimeAndNodes) {
+TEST(FaultPlan, FaultsStayWithinThePeriodAndFleet) {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     Duration latest{0};
     for (const PlannedFault& fault : Plan(seed, seed % 2 == 0, seed % 3 == 0)) {
@@ -49,7 +49,7 @@
 }
 
 // The plans of seeds that are kept stay as they were.
-TEST(FaultPlan, TheStoreIsRestoredOnlyWhereARunAsksForIt) {
+TEST(FaultPlan, StoreRestoresAreOptionalAndKeepOtherFaults) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     std::vector<std::string> without;
     for (const PlannedFault& fault : Plan(seed)) {
@@ -66,7 +66,7 @@
 }
 
 // The plans of seeds that are kept stay as they were.
-TEST(FaultPlan, WorkersAnswerTwiceOnlyWhereARunAsksForIt) {
+TEST(FaultPlan, SecondAnswersAreOptionalAndKeepOtherFaults) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     const bool restores = seed % 2 == 0;
     std::vector<std::string> without;
@@ -83,7 +83,7 @@
   }
 }
 
-TEST(FaultPlan, EveryKindComesAndTheyOverlap) {
+TEST(FaultPlan, EveryKindOccursAndFaultsOverlap) {
   std::map<FaultKind, int> kinds;
   size_t overlapping = 0;
   size_t all = 0;
@@ -100,7 +100,7 @@
   CHECK(overlapping * 2 > all);
 }
 
-TEST(FaultPlan, NodesAreKilledAndStoppedWhileTheStoreIsAway) {
+TEST(FaultPlan, NodesAreKilledAndStoppedDuringStoreOutages) {
   std::set<FaultKind> seen;
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     Duration away_until{0};
--- a/tests/soak/fault_proxy_test.cc
+++ b/tests/soak/fault_proxy_test.cc
@@ -56,7 +56,7 @@
   CHECK(loop.Now() - start >= std::chrono::milliseconds(110));
 }
 
-TEST(FaultProxy, SilenceEndsWithABrokenConnection) {
+TEST(FaultProxy, EndOfSilenceClosesStalledConnections) {
   proxy->SetMode(FaultProxy::Mode::kSilent);
   CHECK_FALSE(Ask(std::chrono::milliseconds(60)));
   CHECK_EQUAL(0, received);
@@ -64,7 +64,7 @@
   CHECK(Ask(std::chrono::seconds(1)));
 }
 
-TEST(FaultProxy, OneWayLetsARequestRunWithoutAnAnswer) {
+TEST(FaultProxy, ForwardOnlyDeliversRequestsWithoutResponses) {
   proxy->SetMode(FaultProxy::Mode::kForwardOnly);
   CHECK_FALSE(Ask(std::chrono::milliseconds(60)));
   CHECK_EQUAL(1, received);
@@ -73,7 +73,7 @@
   CHECK_EQUAL(1, received);
 }
 
-TEST(FaultProxy, ResetBreaksNewAndOldConnections) {
+TEST(FaultProxy, ResetClosesOpenAndNewConnections) {
   CHECK(Ask(std::chrono::seconds(1)));
   proxy->SetMode(FaultProxy::Mode::kReset);
   CHECK_EQUAL(0, proxy->connections());
@@ -82,7 +82,7 @@
   CHECK(Ask(std::chrono::seconds(1)));
 }
 
-TEST(FaultProxy, OneSourceIsHitAndOthersAreNot) {
+TEST(FaultProxy, AModeOfOneSourceDoesNotAffectOthers) {
   int source = 1;
   proxy->set_identification({[&] { return static_cast<uint16_t>(source); },
                              [](uint16_t port) { return static_cast<int>(port); }});
@@ -95,7 +95,7 @@
   CHECK(Ask(std::chrono::seconds(1)));
 }
 
-TEST(FaultProxy, OpenConnectionsFallSilentForGoodAndNewOnesPass) {
+TEST(FaultProxy, OpenConnectionsStallForGoodAndNewOnesWork) {
   CHECK(Ask(std::chrono::seconds(1)));
   proxy->SilenceOpenConnections();
   CHECK_FALSE(Ask(std::chrono::milliseconds(60)));  // On the kept connection.
@@ -173,7 +173,7 @@
   }
 };
 
-TEST(FaultProxyRepetitions, AnAnswerTakesThePlaceOfTheNext) {
+TEST(FaultProxyRepetitions, ARepeatedResponsePrecedesTheNextOne) {
   RepeatFirstAnswer(WithNextRequest(Duration(0)));
   Ask("a");
   Ask("b");
@@ -181,7 +181,7 @@
   CHECK_EQUAL(1, proxy->repeated());
 }
 
-TEST(FaultProxyRepetitions, AnAnswerComesAgainOnTheIdleConnection) {
+TEST(FaultProxyRepetitions, AResponseIsRepeatedOnAnIdleConnection) {
   RepeatFirstAnswer(After(std::chrono::milliseconds(5)));
   Ask("a");
   ExpectReceived("[a][a]");
@@ -189,14 +189,14 @@
   ExpectReceived("[a][a][b]");
 }
 
-TEST(FaultProxyRepetitions, ALateOneComesBehindWhatWasAskedForMeanwhile) {
+TEST(FaultProxyRepetitions, ALateRepetitionFollowsTheNextResponse) {
   RepeatFirstAnswer(WithNextRequest(std::chrono::milliseconds(30)));
   Ask("a");
   Ask("b");
   ExpectReceived("[a][b][a]");
 }
 
-TEST(FaultProxyRepetitions, NothingComesBetweenThePieces) {
+TEST(FaultProxyRepetitions, NothingIsSentBetweenThePieces) {
   Repetition repetition = WithNextRequest(Duration(0));
   repetition.first_piece = 2;
   repetition.between_pieces = std::chrono::milliseconds(20);
@@ -208,7 +208,7 @@
   ExpectReceived("[a][a]?[b]");
 }
 
-TEST(FaultProxyRepetitions, NoneComesAfterTheirEnd) {
+TEST(FaultProxyRepetitions, TurningRepetitionsOffCancelsPendingOnes) {
   RepeatFirstAnswer(After(std::chrono::milliseconds(20)));
   Ask("a");
   proxy->set_repetitions(nullptr);
--- a/tests/soak/loss_judge_test.cc
+++ b/tests/soak/loss_judge_test.cc
@@ -21,7 +21,7 @@
   void setup() override { judge.OnStopAsked(1, stop); }
 
   // Sent and cut at these times after the SIGTERM, while a worker was at work on it.
-  FinishedAttempt Cut(double sent, double ended) {
+  FinishedAttempt Dropped(double sent, double ended) {
     FinishedAttempt attempt;
     attempt.id = "a1";
     attempt.node = 1;
@@ -39,21 +39,21 @@
   }
 };
 
-TEST(LossJudge, ARequestThatWasPassedOnAndCutIsLost) {
-  ExpectLost(Cut(4, 5.3), true);
-  ExpectLost(Cut(-1, 2), true);
+TEST(LossJudge, AForwardedRequestWithoutAResponseIsLost) {
+  ExpectLost(Dropped(4, 5.3), true);
+  ExpectLost(Dropped(-1, 2), true);
 }
 
-TEST(LossJudge, AWholeAnswerIsFine) {
-  FinishedAttempt attempt = Cut(4, 4.2);
+TEST(LossJudge, ACompleteResponseIsNoLoss) {
+  FinishedAttempt attempt = Dropped(4, 4.2);
   attempt.end = FinishedAttempt::End::kAnswered;
   attempt.by_worker = true;
   attempt.work[0].ended = attempt.ended_at;
   ExpectLost(attempt, false);
 }
 
-TEST(LossJudge, AnAnswerOfTheNodeForAWorkerAtWorkIsALoss) {
-  FinishedAttempt attempt = Cut(4, 4.2);
+TEST(LossJudge, ANodeResponseWhileTheWorkerIsBusyIsALoss) {
+  FinishedAttempt attempt = Dropped(4, 4.2);
   attempt.end = FinishedAttempt::End::kAnswered;
   ExpectLost(attempt, true);
   attempt.work[0].ended = attempt.ended_at;
@@ -66,7 +66,7 @@
 }
 
 TEST(LossJudge, ARequestThatReachedNoWorkerIsLostOnceTheSlackIsOver) {
-  FinishedAttempt attempt = Cut(4, 4.3);
+  FinishedAttempt attempt = Dropped(4, 4.3);
   attempt.work.clear();
   ExpectLost(attempt, true);
   attempt.ended_at = attempt.sent_at + Seconds(0.15);
@@ -74,7 +74,7 @@
 }
 
 TEST(LossJudge, ARequestThatTheNodeNeverReadIsNotLost) {
-  FinishedAttempt attempt = Cut(4, 5.3);
+  FinishedAttempt attempt = Dropped(4, 5.3);
   attempt.end = FinishedAttempt::End::kReset;
   ExpectLost(attempt, true);  // A worker got it.
   attempt.work.clear();
@@ -82,15 +82,15 @@
 }
 
 TEST(LossJudge, OnlyAStopOfTheNodeThatTookTheRequestCounts) {
-  FinishedAttempt attempt = Cut(4, 5.3);
+  FinishedAttempt attempt = Dropped(4, 5.3);
   attempt.node = 2;
   ExpectLost(attempt, false);
-  ExpectLost(Cut(6.8, 7.5), false);
-  ExpectLost(Cut(-3, -1), false);
+  ExpectLost(Dropped(6.8, 7.5), false);
+  ExpectLost(Dropped(-3, -1), false);
 }
 
-TEST(LossJudge, FaultsAndTheEndOfItsTimeExcuse) {
-  FinishedAttempt attempt = Cut(4, 5.3);
+TEST(LossJudge, FaultsAndDeadlinesExcuseALoss) {
+  FinishedAttempt attempt = Dropped(4, 5.3);
   attempt.disturbed = true;
   ExpectLost(attempt, false);
   attempt.disturbed = false;
@@ -98,33 +98,33 @@
   ExpectLost(attempt, false);
 }
 
-TEST(LossJudge, AWorkerThatBreaksOffExcuses) {
-  FinishedAttempt attempt = Cut(4, 4.4);
+TEST(LossJudge, AWorkerThatAbortsExcusesALoss) {
+  FinishedAttempt attempt = Dropped(4, 4.4);
   attempt.work[0].ended = attempt.ended_at;
   attempt.work[0].end = WorkEnd::kBrokenOff;
   ExpectLost(attempt, false);
 }
 
 TEST(LossJudge, LongWorkOnAnEarlyRequestIsExcused) {
-  ExpectLost(Cut(2.9, 5.3), false);
-  ExpectLost(Cut(2.9, 4.9), true);
-  ExpectLost(Cut(3.1, 5.3), true);
-  FinishedAttempt ended_early = Cut(2, 5.3);
+  ExpectLost(Dropped(2.9, 5.3), false);
+  ExpectLost(Dropped(2.9, 4.9), true);
+  ExpectLost(Dropped(3.1, 5.3), true);
+  FinishedAttempt ended_early = Dropped(2, 5.3);
   ended_early.work[0].ended = stop + Seconds(4);
   ExpectLost(ended_early, true);
 }
 
-TEST(LossJudge, AReloadCutsNothing) {
+TEST(LossJudge, ARequestDroppedDuringAReloadIsLost) {
   judge.OnReloadAsked(2, stop);
-  FinishedAttempt attempt = Cut(1, 2.5);
+  FinishedAttempt attempt = Dropped(1, 2.5);
   attempt.node = 2;
   ExpectLost(attempt, true);
   attempt.sent_at = stop + Seconds(2.2);
   ExpectLost(attempt, false);
 }
 
-TEST(LossJudge, KeptConnectionsAreNotClosedOnRequestsInPeace) {
-  FinishedAttempt attempt = Cut(20, 20.5);
+TEST(LossJudge, FewForwardedRequestsMayBeDroppedOutsideOfStops) {
+  FinishedAttempt attempt = Dropped(20, 20.5);
   attempt.kept_connection = true;
   for (int count = 0; count < 3; ++count) ExpectLost(attempt, false);
   ExpectLost(attempt, true);
--- a/tests/soak/operator_configurations_test.cc
+++ b/tests/soak/operator_configurations_test.cc
@@ -10,7 +10,7 @@
 TEST_GROUP(OperatorConfigurations){};
 
 // Every configuration is one that the nodes understand, and says what the judge is told.
-TEST(OperatorConfigurations, TheyAreValidAndRise) {
+TEST(OperatorConfigurations, ConfigurationsAreValidWithRisingVersions) {
   OperatorConfigurations operators(3);
   int64_t version = 0;
   size_t split = 0;
--- a/tests/soak/ownership_judge_test.cc
+++ b/tests/soak/ownership_judge_test.cc
@@ -30,7 +30,7 @@
   }
 };
 
-TEST(OwnershipJudge, TokensRiseFromWorkerToWorker) {
+TEST(OwnershipJudge, AGrantToAnotherWorkerNeedsAHigherToken) {
   Grant("w1", Keys(0, 99, 4));
   Grant("w1", Keys(0, 99, 4));
   Grant("w2", Keys(50, 60, 5));
@@ -39,7 +39,7 @@
   ExpectOnly("fence");
 }
 
-TEST(OwnershipJudge, ARepeatedGrantAtTheNextLifeOfAWorkerNeedsAHigherToken) {
+TEST(OwnershipJudge, AGrantRepeatedToARestartedWorkerNeedsAHigherToken) {
   Grant("w1@1", Keys(0, 99, 4));
   Grant("w1@2", Keys(0, 99, 5));
   CHECK(judge.violations().empty());
@@ -47,7 +47,7 @@
   ExpectOnly("fence");
 }
 
-TEST(OwnershipJudge, AGrantTakenLateMayBeOlderThanWhatOthersHold) {
+TEST(OwnershipJudge, AGrantAppliedLateMayBeOlderThanCurrentOnes) {
   Grant("w2", Keys(0, 99, 5));
   Grant("w1", Keys(0, 99, 4), OrderArrival::kTakenLate);
   CHECK(judge.violations().empty());
@@ -55,7 +55,7 @@
   ExpectOnly("fence");
 }
 
-TEST(OwnershipJudge, AReleaseThatWasAnsweredKeepsOlderGrantsOut) {
+TEST(OwnershipJudge, AnAcknowledgedReleaseInvalidatesOlderGrants) {
   Grant("w1", Keys(0, 99, 4));
   judge.OnReleased("w1", {0, 99});
   Grant("w2", Keys(0, 99, 5));
@@ -63,7 +63,7 @@
   ExpectOnly("fence");
 }
 
-TEST(OwnershipJudge, ANewGrantAfterAReleaseMayBeTakenLateAgain) {
+TEST(OwnershipJudge, ANewGrantAfterAReleaseMayBeAppliedLateAgain) {
   Grant("w1", Keys(0, 99, 4));
   judge.OnReleased("w1", {0, 99});
   Grant("w1", Keys(0, 99, 6));
@@ -72,7 +72,7 @@
   CHECK(judge.violations().empty());
 }
 
-TEST(OwnershipJudge, OnlyALongOverlapIsHeldAgainstTheNodes) {
+TEST(OwnershipJudge, OnlyOverlapsBeyondTheLimitAreViolations) {
   const HeldKeys left = Keys(0, 99, 1);
   const HeldKeys right = Keys(50, 149, 2);
   Grant("w1", left);
@@ -83,7 +83,7 @@
   ExpectOnly("owner");
 }
 
-TEST(OwnershipJudge, AnOverlapEndsWhenOneOfTheTwoLetsGo) {
+TEST(OwnershipJudge, AnOverlapEndsWhenOneWorkerReleasesTheKeys) {
   const HeldKeys left = Keys(0, 99, 1);
   const HeldKeys right = Keys(0, 99, 2);
   Grant("w1", left);
@@ -94,7 +94,7 @@
   CHECK(judge.violations().empty());
 }
 
-TEST(OwnershipJudge, OverlapsThatFollowOnDifferentKeysAreNotAddedUp) {
+TEST(OwnershipJudge, ConsecutiveOverlapsOfDifferentKeysAreNotAddedUp) {
   const HeldKeys left = Keys(0, 199, 1);
   Grant("w1", left);
   const HeldKeys lower = Keys(0, 99, 2);
@@ -106,7 +106,7 @@
   CHECK(judge.violations().empty());
 }
 
-TEST(OwnershipJudge, GrantsThatWereHeldUpDoNotCountForOverlaps) {
+TEST(OwnershipJudge, DelayedGrantsDoNotCountForOverlaps) {
   for (const OrderArrival arrival :
        {OrderArrival::kHeldUp, OrderArrival::kAfterThaw, OrderArrival::kTakenLate}) {
     OwnershipJudge other;
@@ -121,14 +121,14 @@
   }
 }
 
-TEST(OwnershipJudge, ARunOnASharedKeyIsSeen) {
+TEST(OwnershipJudge, ARequestForASharedKeyIsAViolation) {
   Grant("w1", Keys(0, 99, 1));
   Grant("w2", Keys(0, 99, 2));
   judge.OnRunBegan(now, "w1", 7, now + std::chrono::seconds(3), {"w2"});
   ExpectOnly("owner");
 }
 
-TEST(OwnershipJudge, ALateGrantCountsOnceBothBeginRequests) {
+TEST(OwnershipJudge, ALateGrantCountsOnceBothWorkersBeginRequests) {
   const HeldKeys left = Keys(0, 99, 1);
   const HeldKeys right = Keys(0, 99, 2);
   Grant("w2", right);
@@ -140,7 +140,7 @@
   ExpectOnly("owner");
 }
 
-TEST(OwnershipJudge, AGrantAfterAThawIsHeldAgainstNobody) {
+TEST(OwnershipJudge, AGrantAppliedAfterAResumeIsNoOverlap) {
   const HeldKeys left = Keys(0, 99, 1);
   const HeldKeys right = Keys(0, 99, 2);
   Grant("w2", right);
@@ -152,7 +152,7 @@
   CHECK_EQUAL(1, judge.violations().size());
 }
 
-TEST(OwnershipJudge, KeysAreNotGivenAwayUnderARunningRequest) {
+TEST(OwnershipJudge, AGrantOfAKeyWithARunningRequestIsAViolation) {
   Grant("w1", Keys(0, 99, 1));
   judge.OnRunBegan(now, "w1", 7, now + std::chrono::seconds(3), {});
   judge.OnRunBegan(now, "w1", 8, now + std::chrono::seconds(3), {});
@@ -164,7 +164,7 @@
   ExpectOnly("owner");
 }
 
-TEST(OwnershipJudge, ARequestThatOutlastsItsLeaseDoesNotBindOthers) {
+TEST(OwnershipJudge, ARequestThatOutlastsItsLeaseDoesNotBlockGrants) {
   Grant("w1", Keys(0, 99, 1));
   judge.OnRunBegan(now, "w1", 7, now + std::chrono::seconds(3), {});
   now += std::chrono::seconds(4);
--- a/tests/soak/promise_judge_test.cc
+++ b/tests/soak/promise_judge_test.cc
@@ -26,7 +26,7 @@
   }
 };
 
-TEST(PromiseJudge, ARequestThatRunsOnceAndIsAnsweredWholeIsFine) {
+TEST(PromiseJudge, ARequestThatRunsOnceWithACompleteResponseIsNoViolation) {
   Run("order", "w1");
   judge.OnAnswer({"order", 200, ExpectedAnswerBody("w1", "order", "body"), "w1"});
   Run("read", "w1");
@@ -35,70 +35,70 @@
   CHECK(judge.violations().empty());
 }
 
-TEST(PromiseJudge, AnOrderThatRunsTwiceIsSeen) {
+TEST(PromiseJudge, ANonIdempotentRequestThatRunsTwiceIsAViolation) {
   Run("order", "w1");
   Run("order", "w2");
   ExpectOnly("twice");
 }
 
-TEST(PromiseJudge, APromiseThatItHasNotRunBindsBeforeAndAfter) {
+TEST(PromiseJudge, ARequestThatRunsAfterARefusalIsAViolation) {
   judge.OnAnswer({"order", 503, "", ""});
   Run("order", "w1");
   ExpectOnly("refused");
 }
 
-TEST(PromiseJudge, ARefusalOfWhatHasRunIsSeen) {
+TEST(PromiseJudge, ARefusalAfterExecutionIsAViolation) {
   Run("order", "w1");
   judge.OnAnswer({"order", 429, "", ""});
   ExpectOnly("refused");
 }
 
-TEST(PromiseJudge, AnAnswerOfAnotherRequestIsSeen) {
+TEST(PromiseJudge, AResponseToAnotherRequestIsAViolation) {
   Run("read", "w1");
   judge.OnAnswer({"read", 200, ExpectedAnswerBody("w1", "order", "body"), "w1"});
   ExpectOnly("mixed");
 }
 
-TEST(PromiseJudge, AnAnswerThatIsNotWholeIsSeen) {
+TEST(PromiseJudge, ATruncatedResponseIsAViolation) {
   Run("read", "w1");
   judge.OnAnswer({"read", 200, "w1|re", "w1"});
   ExpectOnly("mixed");
 }
 
 // Callers once got the answer to a health check of their worker.
-TEST(PromiseJudge, ASuccessWithoutAStampIsSeen) {
+TEST(PromiseJudge, ASuccessWithoutAStampIsAViolation) {
   Run("read", "w1");
   judge.OnAnswer({"read", 200, "", ""});
   ExpectOnly("mixed");
 }
 
-TEST(PromiseJudge, ASuccessWithoutAStampIsSeenWhateverItSays) {
+TEST(PromiseJudge, ASuccessWithoutAStampIsAViolationWhateverItsBody) {
   Run("read", "w1");
   judge.OnAnswer({"read", 200, ExpectedAnswerBody("w1", "read", ""), ""});
   ExpectOnly("mixed");
 }
 
-TEST(PromiseJudge, ASuccessBeforeAnyWorkerRanTheRequestIsSeen) {
+TEST(PromiseJudge, ASuccessBeforeExecutionIsAViolation) {
   judge.OnAnswer({"read", 200, "", ""});
   ExpectOnly("mixed");
 }
 
-TEST(PromiseJudge, ARequestThatNobodySentIsSeen) {
+TEST(PromiseJudge, AnExecutionOfAnUnsentRequestIsAViolation) {
   Run("ghost", "w1");
   ExpectOnly("unasked");
 }
 
-TEST(PromiseJudge, AChangedRequestIsSeen) {
+TEST(PromiseJudge, AModifiedRequestIsAViolation) {
   judge.OnExecuted({"order", "/send/1", "changed", "shop", "w1", "s"});
   ExpectOnly("unasked");
 }
 
-TEST(PromiseJudge, AForgedCallerServiceIsSeen) {
+TEST(PromiseJudge, AForgedCallerServiceIsAViolation) {
   judge.OnExecuted({"order", "/send/1", "body", "other", "w1", "s"});
   ExpectOnly("unasked");
 }
 
-TEST(PromiseJudge, AFailureInTheNameOfAWorkerIsThatWorkers) {
+TEST(PromiseJudge, AStampedFailureMustComeFromThatWorker) {
   Run("read", "w1");
   judge.OnWorkerAnswered("read", "w1", 500);
   judge.OnAnswer({"read", 500, "", "w1"});
@@ -107,19 +107,19 @@
   ExpectOnly("mixed");
 }
 
-TEST(PromiseJudge, ASuccessInPlaceOfAWorkersFailureIsSeen) {
+TEST(PromiseJudge, ASuccessInPlaceOfAWorkersFailureIsAViolation) {
   Run("read", "w1");
   judge.OnWorkerAnswered("read", "w1", 500);
   judge.OnAnswer({"read", 200, ExpectedAnswerBody("w1", "read", ""), "w1"});
   ExpectOnly("mixed");
 }
 
-TEST(PromiseJudge, AProcessThatEndsByItselfIsSeen) {
+TEST(PromiseJudge, AnUnexpectedProcessExitIsAViolation) {
   judge.OnProcessEnded("n1", -11);
   ExpectOnly("ended");
 }
 
-TEST(PromiseJudge, ARequestWithoutAnEndIsSeen) {
+TEST(PromiseJudge, ARequestWithoutAResponseIsAViolation) {
   judge.OnNoAnswer("read");
   ExpectOnly("unanswered");
 }
--- a/tests/soak/second_answers_test.cc
+++ b/tests/soak/second_answers_test.cc
@@ -7,7 +7,7 @@
 
 TEST_GROUP(SecondAnswers){};
 
-TEST(SecondAnswers, EveryFormComes) {
+TEST(SecondAnswers, EveryFormOccurs) {
   SecondAnswers second_answers(1);
   int once = 0;
   int at_once = 0;
