--- a/tests/soak/abandonment_judge_test.cc
+++ b/tests/soak/abandonment_judge_test.cc
@@ -11,7 +11,8 @@
 
   static std::string Id(int number) { return "a" + std::to_string(number); }
   Instant After(int milliseconds) { return left + std::chrono::milliseconds(milliseconds); }
-  // Eight callers leave; the work of the first `worked_on` goes on for a second.
+  // Eight callers disconnect; the first `worked_on` requests are processed for another second, the
+  // others are cancelled after 20 ms.
   void Leave(int worked_on, bool repeatable) {
     for (int number = 0; number < 8; ++number) {
       judge.OnLeft(Id(number), left, repeatable);
--- a/tests/soak/configuration_judge_test.cc
+++ b/tests/soak/configuration_judge_test.cc
@@ -5,8 +5,8 @@
 using namespace runshelf;
 using namespace runshelf::soak;
 
-// The first configuration sends reads to "plain", the second one to "other", and has a further
-// route; it is acknowledged at 110 s.
+// The first configuration, acknowledged at 100 s, routes "read" to "plain". The second one,
+// acknowledged at 110 s, routes it to "other" and adds the route "new".
 TEST_GROUP(ConfigurationJudge) {
   ConfigurationJudge judge{ConfigurationBounds{}};
 
@@ -51,8 +51,8 @@
 
 TEST(ConfigurationJudge, AProcessNeverRevertsToAnOlderConfiguration) {
   Handle(110.5, "read", "other", 1, /*in_touch=*/false);
-  Handle(110.6, "read", "plain", 1, /*in_touch=*/false);  // Sent within the slack.
-  Handle(111, "read", "plain", 2, /*in_touch=*/false);    // Another life.
+  Handle(110.6, "read", "plain", 1, /*in_touch=*/false);  // Sent within the rollback slack.
+  Handle(111, "read", "plain", 2, /*in_touch=*/false);    // Another process incarnation.
   CHECK(judge.violations().empty());
   Handle(111, "read", "plain", 1, /*in_touch=*/false);
   CHECK_EQUAL(1, judge.violations().size());
@@ -61,7 +61,7 @@
 TEST(ConfigurationJudge, ARevertIsDetectedAfterARouteIsRemovedAgain) {
   judge.OnConfiguration(At(120), {{"read", {"other"}}});
   Handle(120.5, "new", std::nullopt, 1, /*in_touch=*/false);
-  CHECK(judge.violations().empty());  // As before the second one, too.
+  CHECK(judge.violations().empty());  // Also consistent with the first configuration.
   Handle(119, "read", "other", 1, /*in_touch=*/false);
   Handle(121, "read", "plain", 1, /*in_touch=*/false);
   CHECK_EQUAL(1, judge.violations().size());
--- a/tests/soak/fatal_request_judge_test.cc
+++ b/tests/soak/fatal_request_judge_test.cc
@@ -23,7 +23,7 @@
 
 TEST(FatalRequestJudge, ThreeRunsAreAllowedAfterThePropagationTime) {
   for (int second = 0; second < 3; ++second) RunAndCrash(seconds(second));
-  // Within the time to learn.
+  // Within the propagation time.
   RunAndCrash(seconds(4));
   for (int second = 6; second < 9; ++second) RunAndCrash(seconds(second));
   CHECK_EQUAL(0U, judge.violations().size());
--- a/tests/soak/fault_plan_test.cc
+++ b/tests/soak/fault_plan_test.cc
@@ -48,7 +48,7 @@
   }
 }
 
-// The plans of seeds that are kept stay as they were.
+// Faults that are enabled separately must not change the plans of regression seeds.
 TEST(FaultPlan, StoreRestoresAreOptionalAndKeepOtherFaults) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     std::vector<std::string> without;
@@ -65,7 +65,7 @@
   }
 }
 
-// The plans of seeds that are kept stay as they were.
+// Faults that are enabled separately must not change the plans of regression seeds.
 TEST(FaultPlan, SecondAnswersAreOptionalAndKeepOtherFaults) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     const bool restores = seed % 2 == 0;
--- a/tests/soak/fault_proxy_test.cc
+++ b/tests/soak/fault_proxy_test.cc
@@ -28,7 +28,7 @@
     CHECK_EQUAL(0, proxy->Listen("127.0.0.1"));
   }
 
-  // Returns whether an answer came within `limit`.
+  // Sends a request through the proxy and returns whether a response arrived within `limit`.
   bool Ask(Duration limit) {
     bool over = false;
     bool answered = false;
@@ -98,14 +98,14 @@
 TEST(FaultProxy, OpenConnectionsStallForGoodAndNewOnesWork) {
   CHECK(Ask(std::chrono::seconds(1)));
   proxy->SilenceOpenConnections();
-  CHECK_FALSE(Ask(std::chrono::milliseconds(60)));  // On the kept connection.
+  CHECK_FALSE(Ask(std::chrono::milliseconds(60)));  // On the keep-alive connection.
   CHECK_EQUAL(1, received);
   CHECK(Ask(std::chrono::seconds(1)));
   proxy->SetMode(FaultProxy::Mode::kPass);
   CHECK_EQUAL(2, proxy->connections());
 }
 
-// A caller that reads whatever comes on one connection.
+// A caller that records all data received on one connection.
 TEST_GROUP(FaultProxyRepetitions) {
   using Repetition = FaultProxy::Repetition;
   struct Caller : public event::StreamObserver {
@@ -116,7 +116,7 @@
     std::unique_ptr<event::TcpStream> stream;
     std::string received;
   };
-  // Each answer is its request, in brackets, as often as it came.
+  // Echoes each request in brackets.
   struct Target : public event::StreamObserver {
     void OnData(std::string_view data) override { stream->Write("[" + std::string(data) + "]"); }
     void OnEnd(event::StreamEnd) override {}
--- a/tests/soak/loss_judge_test.cc
+++ b/tests/soak/loss_judge_test.cc
@@ -13,14 +13,15 @@
 
 }  // namespace
 
-// Node 1 gets SIGTERM at the moment `stop`.
+// Node 1 receives SIGTERM at `stop`.
 TEST_GROUP(LossJudge) {
   LossJudge judge{LossBounds{}};
   Instant stop{std::chrono::seconds(100)};
 
   void setup() override { judge.OnStopAsked(1, stop); }
 
-  // Sent and cut at these times after the SIGTERM, while a worker was at work on it.
+  // An attempt sent and closed without response at these offsets in seconds from the SIGTERM, while
+  // a worker was processing it.
   FinishedAttempt Dropped(double sent, double ended) {
     FinishedAttempt attempt;
     attempt.id = "a1";
@@ -76,7 +77,7 @@
 TEST(LossJudge, ARequestThatTheNodeNeverReadIsNotLost) {
   FinishedAttempt attempt = Dropped(4, 5.3);
   attempt.end = FinishedAttempt::End::kReset;
-  ExpectLost(attempt, true);  // A worker got it.
+  ExpectLost(attempt, true);  // It had reached a worker.
   attempt.work.clear();
   ExpectLost(attempt, false);
 }
--- a/tests/soak/operator_configurations_test.cc
+++ b/tests/soak/operator_configurations_test.cc
@@ -9,7 +9,8 @@
 
 TEST_GROUP(OperatorConfigurations){};
 
-// Every configuration is one that the nodes understand, and says what the judge is told.
+// Every configuration can be decoded by the nodes and has the routes and services that are reported
+// to the judge.
 TEST(OperatorConfigurations, ConfigurationsAreValidWithRisingVersions) {
   OperatorConfigurations operators(3);
   int64_t version = 0;
--- a/tests/soak/ownership_judge_test.cc
+++ b/tests/soak/ownership_judge_test.cc
@@ -5,7 +5,7 @@
 using namespace runshelf;
 using namespace runshelf::soak;
 
-// Each finding is seen once with a history that breaks the promise, and not with one that keeps it.
+// Checks each kind of violation with a history that violates the guarantee and one that does not.
 TEST_GROUP(OwnershipJudge) {
   OwnershipJudge judge;
   Instant now{std::chrono::seconds(100)};
@@ -18,7 +18,7 @@
              OrderArrival arrival = OrderArrival::kTimely) {
     judge.OnGrant(now, worker, held, arrival);
   }
-  // Two workers hold these keys for a while, looked at every 20 ms.
+  // Both workers own these keys for `time`; the judge checks them every 20 ms.
   void HoldBoth(const HeldKeys& left, const HeldKeys& right, Duration time) {
     for (const Instant end = now + time; now <= end; now += std::chrono::milliseconds(20)) {
       judge.Check(now, {{"w1", {left}}, {"w2", {right}}});
@@ -145,7 +145,7 @@
   const HeldKeys right = Keys(0, 99, 2);
   Grant("w2", right);
   Grant("w1", left, OrderArrival::kAfterThaw);
-  CHECK_EQUAL(1, judge.violations().size());  // Its token is too low all the same.
+  CHECK_EQUAL(1, judge.violations().size());  // The low token is still a violation.
   judge.Check(now, {{"w1", {left}}, {"w2", {right}}});
   judge.OnRunBegan(now, "w2", 7, right.until, {"w1"});
   judge.OnRunBegan(now, "w1", 8, left.until, {"w2"});
--- a/tests/soak/promise_judge_test.cc
+++ b/tests/soak/promise_judge_test.cc
@@ -5,7 +5,7 @@
 using namespace runshelf;
 using namespace runshelf::soak;
 
-// Each promise is seen to be judged: kept once, broken once.
+// Checks each guarantee with a history that satisfies it and one that violates it.
 TEST_GROUP(PromiseJudge) {
   PromiseJudge judge;
 
@@ -65,7 +65,7 @@
   ExpectOnly("mixed");
 }
 
-// Callers once got the answer to a health check of their worker.
+// Guards against a caller receiving the response to a health check of its worker.
 TEST(PromiseJudge, ASuccessWithoutAStampIsAViolation) {
   Run("read", "w1");
   judge.OnAnswer({"read", 200, "", ""});
