--- a/tests/soak/abandonment_judge_test.cc
+++ b/tests/soak/abandonment_judge_test.cc
@@ -11,7 +11,8 @@
 
   static std::string Id(int number) { return "a" + std::to_string(number); }
   Instant After(int milliseconds) { return left + std::chrono::milliseconds(milliseconds); }
-  // Eight callers leave; the work of the first `worked_on` goes on for a second.
+  // Eight callers disconnect; the first `worked_on` requests are processed for another second, the
+  // others are cancelled after 20 ms.
   void Leave(int worked_on, bool repeatable) {
     for (int number = 0; number < 8; ++number) {
       judge.OnLeft(Id(number), left, repeatable);
@@ -21,7 +22,7 @@
   }
 };
 
-TEST(AbandonmentJudge, AFewMayComeLate) {
+TEST(AbandonmentJudge, FiveLateRequestsAreTolerated) {
   for (int number = 0; number < 6; ++number) judge.OnLeft(Id(number), left, true);
   for (int number = 0; number < 5; ++number) judge.OnBegan(Id(number), After(700), true);
   judge.OnBegan(Id(5), After(400), true);
@@ -32,19 +33,19 @@
   CHECK_EQUAL(1, judge.violations().size());
 }
 
-TEST(AbandonmentJudge, AQuarterMayGoOn) {
+TEST(AbandonmentJudge, AQuarterMayStayUncancelled) {
   Leave(2, /*repeatable=*/true);
   judge.Finish();
   CHECK(judge.violations().empty());
 }
 
-TEST(AbandonmentJudge, MoreThanAQuarterMayNot) {
+TEST(AbandonmentJudge, MoreThanAQuarterUncancelledIsAViolation) {
   Leave(3, /*repeatable=*/true);
   judge.Finish();
   CHECK_EQUAL(1, judge.violations().size());
 }
 
-TEST(AbandonmentJudge, WhatMayNotBeRepeatedMayRunOn) {
+TEST(AbandonmentJudge, NonIdempotentRequestsNeedNoCancellation) {
   Leave(8, /*repeatable=*/false);
   judge.Finish();
   CHECK(judge.violations().empty());
--- a/tests/soak/ownership_judge.cc
+++ b/tests/soak/ownership_judge.cc
@@ -7,7 +7,7 @@
 namespace runshelf::soak {
 namespace {
 
-// Overlaps shorter than this break no promise of the users' pages (half a second).
+// Longest overlap of ownership that the user documentation permits (half a second).
 constexpr Duration kAllowedOverlap = std::chrono::milliseconds(500);
 
 bool SameGrant(const HeldKeys& left, const HeldKeys& right) {
@@ -25,15 +25,15 @@
                              OrderArrival arrival) {
   CheckToken(worker, grant, arrival);
   if (arrival == OrderArrival::kTimely) {
-    CheckWorkUnderWay(now, worker, grant);
+    CheckRunningRequests(now, worker, grant);
     std::erase_if(released_[worker],
                   [&](const KeyRange& keys) { return keys.Overlaps(grant.keys); });
   }
-  Remember(worker, grant, arrival);
+  RecordGrant(worker, grant, arrival);
 }
 
-void OwnershipJudge::Remember(const std::string& worker, const HeldKeys& grant,
-                              OrderArrival arrival) {
+void OwnershipJudge::RecordGrant(const std::string& worker, const HeldKeys& grant,
+                                 OrderArrival arrival) {
   std::vector<Grant>& grants = grants_[worker];
   const auto same = std::find_if(grants.begin(), grants.end(), [&](const Grant& known) {
     return known.arrival == arrival && SameGrant(known.held, grant);
@@ -52,9 +52,9 @@
                      [key](const KeyRange& keys) { return keys.Contains(key); });
 }
 
-// Another life of a worker is another worker, also where both have one identity: it needs a higher
-// token. A grant that was taken late may be older than what others hold by now, unless the worker
-// answered a release after it had come.
+// A restarted worker counts as another worker even if it keeps its identity, so it needs a higher
+// token. A grant that was applied late may be older than the current grants of other workers,
+// unless the worker acknowledged a release after it had received the grant.
 void OwnershipJudge::CheckToken(const std::string& worker, const HeldKeys& grant,
                                 OrderArrival arrival) {
   bool reported = false;
@@ -72,8 +72,8 @@
   }
 }
 
-void OwnershipJudge::CheckWorkUnderWay(Instant now, const std::string& worker,
-                                       const HeldKeys& grant) {
+void OwnershipJudge::CheckRunningRequests(Instant now, const std::string& worker,
+                                          const HeldKeys& grant) {
   for (const auto& [other, runs] : runs_) {
     if (other == worker) continue;
     const auto found = std::find_if(runs.begin(), runs.end(), [&](const Run& run) {
@@ -89,13 +89,13 @@
                                 Instant lease_end, const std::vector<std::string>& others) {
   runs_[worker].push_back({key, lease_end});
   for (const std::string& other : others) {
-    if (HoldsBy(now, worker, key, /*timely=*/true) && HoldsBy(now, other, key, /*timely=*/true)) {
+    if (OwnsKey(now, worker, key, /*timely=*/true) && OwnsKey(now, other, key, /*timely=*/true)) {
       violations_.push_back(
           fmt::format("owner: {} runs a request of key {} that {} holds", worker, key, other));
       continue;
     }
-    if (!HoldsBy(now, worker, key, /*timely=*/false)) continue;
-    if (!HoldsBy(now, other, key, /*timely=*/false)) continue;
+    if (!OwnsKey(now, worker, key, /*timely=*/false)) continue;
+    if (!OwnsKey(now, other, key, /*timely=*/false)) continue;
     begun_[{worker, other}] = {now, key};
     const auto since = sharing_since_.find(std::minmax(worker, other));
     const auto opposite = begun_.find({other, worker});
@@ -120,9 +120,9 @@
   released_.erase(worker);
 }
 
-// A grant taken shortly after a thaw is held against nobody; one taken late only counts when both
-// workers begin requests.
-bool OwnershipJudge::HoldsBy(Instant now, const std::string& worker, uint32_t key,
+// Grants applied shortly after a resume are ignored; grants applied late only count once both
+// workers have begun requests.
+bool OwnershipJudge::OwnsKey(Instant now, const std::string& worker, uint32_t key,
                              bool timely) const {
   const auto grants = grants_.find(worker);
   if (grants == grants_.end()) return false;
@@ -133,7 +133,8 @@
   });
 }
 
-bool OwnershipJudge::CoveredInTime(Instant now, const std::string& worker, KeyRange* keys) const {
+bool OwnershipJudge::CoveredByTimelyGrant(Instant now, const std::string& worker,
+                                          KeyRange* keys) const {
   const auto grants = grants_.find(worker);
   if (grants == grants_.end()) return false;
   for (const Grant& grant : grants->second) {
@@ -170,10 +171,10 @@
       if (theirs.until <= now || !mine.keys.Overlaps(theirs.keys)) continue;
       sharing = true;
       KeyRange keys = Intersection(mine.keys, theirs.keys);
-      if (!CoveredInTime(now, left.worker, &keys)) continue;
-      if (!CoveredInTime(now, right.worker, &keys)) continue;
+      if (!CoveredByTimelyGrant(now, left.worker, &keys)) continue;
+      if (!CoveredByTimelyGrant(now, right.worker, &keys)) continue;
       SharedKeys shared{keys, now, false};
-      // Shared before, in whole or in part: it began then.
+      // An overlap that continues an earlier one, even partly, keeps its start time.
       for (const SharedKeys& earlier : before) {
         if (!earlier.keys.Overlaps(keys)) continue;
         shared.keys = Intersection(earlier.keys, keys);
