--- a/tests/platform_adapter/crashing_requests_test.cc
+++ b/tests/platform_adapter/crashing_requests_test.cc
@@ -1,15 +1,12 @@
-// A request ended every worker that ran it, and came again and again: twelve workers and more of a
-// fleet of four ended one after the other, and over a tenth of the other requests of the service
-// were not served for minutes.
+// Quarantine of requests that crash their workers.
 //
-// It reached the next worker by every way there is. The node that had taken it sent it on after the
-// broken connection, as it may with any request that can be repeated; its caller sent it again, at
-// any machine; keys of the ended worker went to the others, and the request after them. To each
-// node the end of its worker was a fact about the worker. That the same request had been at work in
-// the last one, and in the one before, was known to nobody.
-//
-// What proved it: of all requests that the logs name, one was at work under each of six ends, some
-// 80 ms after it had been sent, and every other one under one or two.
+// Guards against a request that crashes every worker that runs it and is sent repeatedly. In a
+// fleet of four workers, twelve and more crashed one after the other, and over a tenth of the other
+// requests of the service failed for minutes. The request reached further workers by retries of the
+// receiving node after the broken connection, by retries of its caller at any node, and by the
+// reassignment of the crashed worker's keys. No node recorded which request each crashed worker had
+// been running: the logs show one request running at each of six crashes, about 80 ms after it was
+// sent, and every other request at one or two of them.
 
 #include <CppUTest/TestHarness.h>
 
@@ -30,10 +27,10 @@
 
 namespace {
 
-// Users allow three more runs, later than this after the third end.
+// Requirement: at most three further runs later than this after the third crash.
 constexpr Duration kTimeToLearn = seconds(3);
 constexpr size_t kAllowedLater = 3;
-// The first three ends, and those more.
+// The first three crashes and the further runs.
 constexpr size_t kAllowedInAll = 6;
 constexpr Duration kCallerInterval = milliseconds(250);
 constexpr Duration kWatched = seconds(11);
@@ -44,14 +41,14 @@
   return headers;
 }
 
-// On a machine that was busy or stood still two runs may meet in the first worker: before it ends
-// nothing is known of them.
+// On a machine that is busy or was suspended, two runs may overlap in the first worker: nothing is
+// known about the request before that worker crashes.
 void CheckThatFewWorkersEnded(CrashingWorkers& workers, const std::string& target) {
   CHECK_COMPARE(workers.ends(), <=, kAllowedInAll);
   CHECK_EQUAL(workers.Begun(target).size(), workers.ends() + workers.BegunBesideFirst(target));
 }
 
-// The request comes at nodes 0 and 1 in turn; returns once all are answered.
+// Sends the request to nodes 0 and 1 alternately; returns once all attempts are answered.
 void SendRepeatedly(Fleet& fleet, const RepeatingCaller::Message& message,
                     Duration time = kWatched) {
   RepeatingCaller caller(fleet, {0, 1}, message, kCallerInterval);
@@ -59,7 +56,7 @@
   caller.Finish();
 }
 
-// The fatal request comes at nodes 0 and 1 in turn, beside proper reads that go on at node 0.
+// Sends the crashing request to nodes 0 and 1 alternately, and harmless reads to node 0 meanwhile.
 void CheckThatItReachesFewWorkers(Fleet& fleet, const RepeatingCaller::Message& fatal,
                                   const RepeatingCaller::Message& proper) {
   fleet.Start();
@@ -72,9 +69,9 @@
   CHECK_COMPARE(workers.Begun(fatal.target).size(), >=, 1U);
   CHECK_COMPARE(workers.BegunAfterThird(fatal.target, kTimeToLearn), <=, kAllowedLater);
   CheckThatFewWorkersEnded(workers, fatal.target);
-  // Its end is told by no proxy either: nothing was served that its workers did not answer.
+  // No proxy reports success for a request that no worker answered.
   CHECK_EQUAL(0U, fatal_caller.Count(200));
-  // Once it is known, nobody pays for it any more.
+  // Once the request is quarantined, other requests are no longer affected.
   RepeatingCaller afterwards(fleet, {0, 1}, proper, milliseconds(25));
   RepeatingCaller fatal_again(fleet, {1, 0}, fatal, kCallerInterval);
   RunFor(fleet.loop, seconds(2));
@@ -87,7 +84,7 @@
                                            "plain", "plain", "plain", "plain"};
 const std::vector<std::string> kKeyedFleet{"other", "other", "keyed", "keyed", "keyed", "keyed"};
 
-// The proper request that many ask for is at work in two workers that end for reasons of their own.
+// Checks that all of ten harmless requests for key 7 sent to `node` are served.
 void CheckThatItIsServedAtOnce(Fleet& fleet, size_t node) {
   size_t served = 0;
   for (size_t index = 0; index < 10; ++index) {
@@ -97,19 +94,19 @@
   CHECK_EQUAL(10U, served);
 }
 
-// One request, once; whether it was served.
+// Sends one request and returns whether it was served with status 200.
 bool Served(Fleet& fleet, size_t node, const std::string& target, const std::string& body = "",
             const http::Headers& headers = {}) {
   const auto answer = fleet.Request(node, "GET", target, body, headers);
   return answer.has_value() && answer->status == 200;
 }
 
-// Refusals before a request is taken that has just had a good run at another node: the news of it
-// is on its way for some milliseconds, and a caller comes back later than that.
+// A request that has just completed successfully at another node may be refused once: the update
+// takes some milliseconds to arrive, and a caller retries later than that.
 constexpr size_t kRefusalsBetween = 1;
 constexpr Duration kComesBackAfter = milliseconds(150);
 
-// A run of the request by some worker, which goes on.
+// Starts the request at `node` and returns once a worker is running it.
 std::unique_ptr<Fleet::PendingRequest> BeginRun(Fleet& fleet, CrashingWorkers& workers, size_t node,
                                                 const std::string& target) {
   const size_t begun = workers.Begun(target).size();
@@ -124,14 +121,14 @@
   }
 }
 
-// Workers end for reasons of their own, each time while the request is at work in one.
+// Stops a worker `times` times, for reasons unrelated to the request, while it runs the request.
 void EndUnder(Fleet& fleet, CrashingWorkers& workers, const std::string& target, size_t times,
               bool good_run_between) {
   for (size_t end = 0; end < times; ++end) {
     const auto pending = BeginRun(fleet, workers, end % 2, target);
     workers.End(workers.LastNode(target));
     CHECK(RunUntil(fleet.loop, [&] { return pending->over; }));
-    // All workers up and known again.
+    // All workers are up and known to their nodes again.
     CHECK(RunUntil(fleet.loop, [&] { return workers.AllUp(); }));
     RunFor(fleet.loop, milliseconds(1200));
     if (!good_run_between) continue;
@@ -199,7 +196,7 @@
   }
 }
 
-// Workers end together, as with a loss of power, while each runs the request.
+// All workers stop at the same time, as after a power failure, while each runs the request.
 TEST(CrashingRequests, ARequestAtWorkInAllWorkersThatEndTogetherIsServed) {
   Fleet fleet(kPlainFleet);
   fleet.Start();
@@ -221,7 +218,7 @@
   CHECK_EQUAL(10U, ServedOfTen(fleet, "/send/order"));
 }
 
-// Another body, another caller or another path makes another request.
+// Requests that differ in body, caller or path are different requests.
 TEST(CrashingRequests, RequestsThatDifferAreServed) {
   Fleet fleet(kPlainFleet);
   fleet.Start();
@@ -236,7 +233,7 @@
   CHECK_COMPARE(workers.ends(), >, ends);
 }
 
-// The record survives what other writers put beside it.
+// Malformed items of other writers in the same key ranges do not affect the crash records.
 TEST(CrashingRequests, BrokenItemsOfOtherWritersChangeNothing) {
   Fleet fleet(kPlainFleet);
   fleet.Start();
@@ -252,7 +249,7 @@
   CheckThatFewWorkersEnded(workers, "/read/fatal");
 }
 
-// An operator who has mended the worker lets the request run again.
+// An operator who has fixed the worker releases the request from quarantine.
 TEST(CrashingRequests, AReleasedRequestRuns) {
   Fleet fleet(kPlainFleet);
   fleet.Start();
@@ -270,7 +267,7 @@
   auto quarantine = sidecar::QuarantineItem::Parse(*item);
   CHECK(quarantine.has_value());
   const size_t begun = workers.Begun("/read/fatal").size();
-  // All but the first two runs were counted before they were sent, or were begun beside these.
+  // All runs but the first two were counted before they were sent, or ran concurrently with these.
   CHECK_EQUAL(kAllowedInAll, begun);
   CHECK_COMPARE(quarantine->trials, >=, 3U);
   fleet.Request(0, "GET", "/read/fatal", "");
@@ -282,8 +279,8 @@
   CHECK_COMPARE(workers.Begun("/read/fatal").size(), >, begun);
 }
 
-// The store is away when a worker ends, and the node beside it is gone before it is back: the other
-// nodes were told.
+// The store is unavailable when a worker crashes, and the worker's node is killed before the store
+// is back: the other nodes have been notified directly.
 TEST(CrashingRequests, AnEndIsKnownThoughTheStoreWasAwayAndTheNodeBesideIsGone) {
   Fleet fleet({"other", "other", "plain", "plain"});
   fleet.Start();
@@ -294,7 +291,7 @@
   const size_t beside = workers.LastNode("/send/fatal");
   fleet.Kill(beside);
   fleet.store.set_fault(FakeStore::Fault::kNone);
-  // Its worker is back before its process.
+  // The worker is up again before the process of its node.
   CHECK(RunUntil(fleet.loop, [&] { return workers.AllUp(); }));
   fleet.Restart(beside);
   RunFor(fleet.loop, milliseconds(1500));
@@ -302,8 +299,8 @@
   CHECK_EQUAL(kAllowedInAll, workers.Begun("/send/fatal").size());
 }
 
-// What nodes were told while the store was away goes to the store once it is back: the node beside
-// the worker and most of those that were told are gone by then.
+// Nodes that were notified while the store was unavailable write the crash to the store once it is
+// back: the worker's node and most of the notified nodes have been killed by then.
 TEST(CrashingRequests, AnEndThatNodesWereToldOfOutlivesThem) {
   Fleet fleet({"other", "other", "other", "plain", "plain"});
   fleet.Start();
@@ -323,7 +320,7 @@
   CHECK_COMPARE(workers.Begun("/send/fatal").size(), <=, kAllowedInAll);
 }
 
-// The machine of the third worker is lost with it, so that nobody counts that end.
+// The machine of the third worker is lost with it, so that no node counts that crash.
 TEST(CrashingRequests, AnEndThatNobodyCountsCostsNoFurtherRun) {
   Fleet fleet(kPlainFleet);
   fleet.Start();
@@ -343,7 +340,7 @@
   CHECK_COMPARE(workers.Begun("/send/fatal").size(), <=, kAllowedInAll);
 }
 
-// Requests that wait for the owner of their key come to it together.
+// Requests that wait for the owner of their key are forwarded to it at the same time.
 TEST(CrashingRequests, RunsAtOneWorkerComeOneAfterTheOther) {
   Fleet fleet(kKeyedFleet);
   fleet.Start();
@@ -358,12 +355,12 @@
   RunFor(fleet.loop, kWatched);
   first.Finish();
   second.Finish();
-  // Nothing is known of it before the first end.
+  // Nothing is known about the request before the first crash.
   CHECK_COMPARE(workers.Begun("/keyed/fatal").size() - at_first, <=, kAllowedInAll - 1);
 }
 
-// Good runs are known to the node that takes the requests; the ones beside the workers where the
-// key is next have seen none.
+// The receiving node knows of successful runs of the request; the nodes of the workers that get the
+// key next have seen none.
 TEST(CrashingRequests, AMuchAskedForRequestIsServedAfterEachEnd) {
   Fleet fleet(kKeyedFleet);
   fleet.Start();
@@ -383,7 +380,7 @@
   CheckThatItIsServedAtOnce(fleet, 1);
 }
 
-// The store has fallen silent: whether a trial may begin cannot be known for seconds.
+// The store does not answer: for seconds a node cannot find out whether a trial run may begin.
 TEST(CrashingRequests, ARequestIsRefusedAtOnceWhenItsTrialCannotBeCounted) {
   Fleet fleet(kPlainFleet);
   fleet.Start();
--- a/tests/platform_adapter/worker_lives_test.cc
+++ b/tests/platform_adapter/worker_lives_test.cc
@@ -1,17 +1,16 @@
-// Two workers held the same keys, in real processes: three cases in a fleet of four workers with
-// keys, four in one of five. No logs were kept.
+// Incarnations of a worker: a restarted worker under the same identity, and a running worker that
+// refuses connections.
 //
-// Two ways to it were found by running the processes with workers that end and start again:
+// Guards against two workers that hold the same keys, seen with real processes: three cases in a
+// fleet of four workers with keys, four in a fleet of five. There are two causes:
 //
-// - A worker started again under its identity. The node took it for the former one, whose keys it
-//   had been given: by calls they reached it under the former fencing token, by heartbeats too. A
-//   worker that has ended and one that has just begun held keys under one token, and nobody could
-//   refuse what was meant for the other.
-// - A worker took no new connections for half a second and was at work. The node took the refused
-//   connections for its end and gave its keys to all the others, one case for each of them.
-//
-// What proved it: the logs say `worker_found` only once for both lives, and `worker_lost
-// reason="nothing listens"` of a worker that answers requests.
+// - A worker restarts under its identity, and the node mistakes it for the former incarnation. The
+//   keys are granted to it under the former fencing token, in calls and in heartbeats, so that
+//   neither incarnation can refuse what was meant for the other. The log has one `worker_found` for
+//   both incarnations.
+// - A worker refuses new connections for half a second while it is running. The node takes this for
+//   the end of the worker and gives its keys to all other workers, one case for each of them. The
+//   log has `worker_lost reason="nothing listens"` for a worker that answers requests.
 
 #include <CppUTest/TestHarness.h>
 #include <fmt/format.h>
@@ -37,7 +36,7 @@
 constexpr routes::GrantDelivery kDeliveries[] = {routes::GrantDelivery::kCalls,
                                                  routes::GrantDelivery::kHeartbeats};
 
-// The highest token under which the worker of the node held any key.
+// The highest fencing token under which the worker of the node holds any key.
 uint64_t HighestToken(const Fleet& fleet, size_t node) {
   uint64_t highest = 0;
   for (const FakeWorker::Grant& grant : fleet.nodes[node].worker->grants()) {
@@ -46,8 +45,8 @@
   return highest;
 }
 
-// The worker of node 0 ends, and starts again under its identity `down` later. No key may reach
-// the next life under a token of the former one, and all keys must be held again.
+// Stops the worker of node 0 and restarts it under its identity after `down`. No key may be granted
+// to the new incarnation under a token of the former one, and all keys must be held again.
 void RestartUnderOneIdentity(routes::GrantDelivery delivery, Duration down) {
   Fleet fleet({"keyed", "keyed", "other"}, delivery);
   fleet.SetBorn(kFirstBirth);
@@ -76,8 +75,8 @@
   for (const auto delivery : kDeliveries) RestartUnderOneIdentity(delivery, milliseconds(1500));
 }
 
-// The next life takes connections at once, and its first heartbeat comes later: until then nothing
-// but its identity is known, which is the former one's.
+// The new incarnation accepts connections at once, and its first heartbeat comes later: until then
+// only its identity is known, which is that of the former incarnation.
 TEST(WorkerLives, NoGrantReachesTheNextLifeBeforeItIsKnown) {
   Fleet fleet({"keyed", "other"});
   fleet.SetBorn(kFirstBirth);
@@ -90,7 +89,7 @@
   next->set_born(kSecondBirth);
   next->set_sharded(true);
   next->Listen(port);
-  // Longer than grants are renewed after.
+  // Longer than the renewal interval of grants.
   RunFor(fleet.loop, milliseconds(1300));
   for (const FakeWorker::Grant& grant : next->grants()) CHECK(grant.fence > former);
   next->StartHeartbeats(*fleet.nodes[0].settings.control_plane, milliseconds(100));
@@ -98,7 +97,7 @@
   for (const FakeWorker::Grant& grant : next->grants()) CHECK(grant.fence > former);
 }
 
-// Its heartbeats cannot be heard: what it answers is all that is known of it.
+// The worker's heartbeats do not arrive: its answers are the only sign that it is running.
 TEST(WorkerLives, AWorkerThatIsOnlyReachedKeepsItsKeys) {
   Fleet fleet({"keyed", "other"});
   fleet.SetBorn(kFirstBirth);
@@ -114,8 +113,8 @@
   CHECK(fleet.nodes[0].worker->Holds(0) != nullptr);
 }
 
-// New tokens cost a change of the map each time: the worker's heartbeats and the connections to it
-// tell that it is the one that has the keys.
+// Each new token costs a change of the shard map. The worker's heartbeats and the open connections
+// to it show that it is still the incarnation that holds the keys.
 TEST(WorkerLives, AWorkerWithoutRequestsKeepsItsKeysUnderTheirTokens) {
   Fleet fleet({"keyed", "other"});
   fleet.SetBorn(kFirstBirth);
@@ -126,8 +125,9 @@
   CHECK_EQUAL(token, HighestToken(fleet, 0));
 }
 
-// Which incarnation the former life of the node gave the keys to takes heartbeats to prove, which
-// come seldom here. Its keys need not wait for them: they come under new tokens.
+// After a restart of the node, only heartbeats can show that the worker is the incarnation that
+// was granted the keys, and they are rare here. The node does not wait for them: it grants the keys
+// under new tokens.
 TEST(WorkerLives, ANodeThatStartsAgainGivesItsWorkerTheKeysUnderNewTokens) {
   Fleet fleet({"keyed", "other"});
   fleet.SetBorn(kFirstBirth);
@@ -136,7 +136,7 @@
   fleet.Kill(0);
   RunFor(fleet.loop, milliseconds(200));
   fleet.Restart(0);
-  // The first heartbeat names the worker, and is the last one for a while.
+  // The first heartbeat identifies the worker; no other one arrives afterwards.
   RunFor(fleet.loop, milliseconds(20));
   fleet.nodes[0].worker->set_heartbeats_cut(true);
   CHECK(RunUntil(fleet.loop, [&] {
@@ -169,7 +169,7 @@
   }
 }
 
-// The node has started since, and has not heard of the former life before.
+// The node does not know the former incarnation, as if it had restarted since.
 TEST(WorkerLives, ALeaveOfAnEarlierLifeThatComesLateChangesNothing) {
   Fleet fleet({"keyed", "other"});
   fleet.SetBorn(kSecondBirth);
@@ -182,7 +182,7 @@
   CHECK(fleet.Log().find("event=worker_draining") == std::string::npos);
 }
 
-// As another writer may send them; its service or its state may be none of ours.
+// Malformed heartbeats, and heartbeats with an unknown service or state, are ignored.
 TEST(WorkerLives, AHeartbeatOfAnotherWriterNamesNoWorker) {
   Fleet fleet({"keyed", "other"});
   fleet.SetBorn(kFirstBirth);
@@ -199,7 +199,7 @@
       R"("state":"gone","cold_remaining_ms":0,"call_sequence":9000,"born":1800000000000})",
       R"({"service":"unheard-of","address":"127.0.0.1:1","zone":"z","version":"v1","slots":4,)"
       R"("state":"draining","cold_remaining_ms":0,"call_sequence":9000,"born":1800000000000})",
-      // The worker's own identity, and nothing that tells the incarnation.
+      // Without `born`, which identifies the incarnation.
       R"({"service":"keyed","address":"127.0.0.1:1","zone":"z","version":"v1","slots":4,)"
       R"("state":"draining","cold_remaining_ms":0,"call_sequence":9000})",
   };
@@ -215,9 +215,9 @@
   CHECK_EQUAL(200, fleet.Keyed(1, 0)->status);
 }
 
-// The node's process starts again beside a worker that leaves. A health check answers first, and
-// names the identity alone: the worker that it belongs to may be the one that leaves, and its keys
-// are not those of a worker that has ended.
+// The node's process restarts while its worker is draining. The answer to a health check comes
+// first and has only the worker's identity: the worker may be the draining one, so its keys must
+// not be treated as those of a worker that has ended.
 TEST(WorkerLives, ANodeThatStartsBesideALeavingWorkerGivesItsKeysToNobodyTooEarly) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.SetBorn(kFirstBirth);
@@ -225,7 +225,7 @@
   FakeWorker& worker = *fleet.nodes[0].worker;
   uint32_t key = 0;
   while (worker.Holds(key) == nullptr) key += 512;
-  // Requests run on it: a release is not answered.
+  // Requests are running on all keys: the worker does not answer a release.
   worker.set_busy_keys([](uint32_t, uint32_t) { return true; });
   worker.set_draining(true);
   CHECK(RunUntil(fleet.loop, [&] { return worker.leaving_acknowledged_at().has_value(); }));
@@ -248,7 +248,7 @@
   CHECK_FALSE(shared);
 }
 
-// Nobody else is there to take its keys.
+// The service has no other worker that could take the keys.
 TEST(WorkerLives, AWorkerAloneInItsServiceGetsItsKeysBack) {
   for (const auto delivery : kDeliveries) {
     for (const char* id : {"w0", "w9"}) {
@@ -266,8 +266,8 @@
   }
 }
 
-// It is at work on a key, under a lease, for longer than a node takes to notice that nothing
-// listens.
+// The worker runs requests for a key that it holds for longer than a node takes to notice that
+// nothing listens.
 TEST(WorkerLives, KeysOfAWorkerThatTakesNoConnectionsStayWhileItIsAtWork) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.SetBorn(kFirstBirth);
@@ -278,7 +278,7 @@
   worker.set_behaviour([&](const http::ExchangePtr& exchange) { running.push_back(exchange); });
   http::Headers key;
   key.Add("Shard-Key", "0");
-  // As many as the worker has slots: every connection is in use.
+  // As many requests as the worker has slots: every connection is in use.
   std::vector<std::unique_ptr<Fleet::PendingRequest>> requests;
   for (size_t count = 0; count < 4; ++count) {
     requests.push_back(fleet.Begin(2, "GET", "/keyed/1", "", key));
@@ -290,8 +290,8 @@
   CHECK_EQUAL(1, fleet.HoldersOf(0));
 }
 
-// The node's process starts again meanwhile: it has had no connection to the worker that could have
-// ended. The worker holds its keys by a lease of the former process.
+// The node's process restarts meanwhile, so it has no earlier connection to the worker that could
+// have closed. The worker holds its keys under a grant of the former process.
 TEST(WorkerLives, KeysOfAWorkerThatTakesNoConnectionsStayWhenItsNodeStartsAgain) {
   for (const auto delivery : kDeliveries) {
     Fleet fleet({"keyed", "keyed", "other"}, delivery);
