--- a/tests/platform_adapter/stopping_node_test.cc
+++ b/tests/platform_adapter/stopping_node_test.cc
@@ -1,5 +1,5 @@
-// What callers and workers see of a node that is told to stop, also while the store is silent and
-// nobody can learn of the stop from it.
+// Shutdown of a node as seen by callers and workers, also while the store does not answer and the
+// other nodes cannot learn of the shutdown from it.
 
 #include <CppUTest/TestHarness.h>
 
@@ -15,20 +15,21 @@
 
 namespace {
 
-// When a stopping node tells others, and from when on it refuses new requests.
+// Times after the stop request at which the node notifies other nodes and at which it starts to
+// refuse new requests.
 constexpr Duration kTold = std::chrono::milliseconds(900);
 constexpr Duration kTakesRequests = std::chrono::milliseconds(2300);
-// For what was on its way at those moments, on a busy machine.
+// Allows for messages in transit at those times on a busy machine.
 constexpr Duration kSlack = std::chrono::milliseconds(300);
 
-// Nothing that the store is asked is answered, and watches hear of nothing.
+// The store answers no calls and sends no watch events.
 void SilenceStore(Fleet& fleet) {
   fleet.store.set_fault(FakeStore::Fault::kSilent);
   fleet.store.set_watches_silent(true);
   RunFor(fleet.loop, std::chrono::milliseconds(300));
 }
 
-// Tells a node to stop and ends its process when it says so; returns how long that took.
+// Stops a node and kills its process once the stop has completed; returns how long the stop took.
 Duration StopAndEnd(Fleet& fleet, size_t node) {
   const Instant began = fleet.loop.Now();
   bool stopped = false;
@@ -44,8 +45,9 @@
 
 TEST_GROUP(StoppingNode){};
 
-// Found in an incident of lagesse-mesh: the store was away, others sent requests until the process
-// ended, their runs made calls through it, and the last of those were cut.
+// Guards against cutting nested calls at shutdown while the store is unavailable, as in an incident
+// of lagesse-mesh: other nodes forwarded requests until the process ended, the runs of these
+// requests made calls through the node, and the last of these calls were cut.
 TEST(StoppingNode, WithoutTheStoreNothingThatItTakesIsCut) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
@@ -58,19 +60,20 @@
   const Duration elapsed = StopAndEnd(fleet, 0);
   RunFor(fleet.loop, std::chrono::milliseconds(300));
   clients.Finish();
-  // The test is one only while calls are made through the stopping node.
+  // The test is meaningful only if calls are made through the stopping node.
   CHECK(leaving.calls_made() > 10);
   CHECK_EQUAL(0, leaving.calls_cut());
   CHECK_EQUAL_TEXT(clients.sent(), clients.Count(200), (clients.NotServed() + fleet.Log()).c_str());
-  // The others' requests move to the other worker soon, and the stop ends without them.
+  // Requests from other nodes soon go to the other worker, and the stop does not wait for them.
   CHECK(leaving.last_begun() - told_to_stop < kTold + kSlack);
   CHECK(elapsed < kTakesRequests + kSlack);
 }
 
-// Seen once in the test above, on a machine that stood still for some 14 s meanwhile: 5 of 128
-// requests were not served. Runs hold slots while their calls need slots of the same workers, so
-// that a burst of runs waits for itself until the calls' deadlines. Proved by holding back all that
-// the process reads for 0.1 s: 2 to 60 were not served then, in 36 of 66 runs.
+// Guards against a deadlock in the test set-up: runs hold slots while their nested calls need slots
+// of the same workers, so that a burst of runs blocks itself until the deadlines of the calls. Seen
+// once in the test above, on a machine that was suspended for about 14 s: 5 of 128 requests were
+// not served. Reproduced by delaying all input of the process by 0.1 s: 2 to 60 requests were not
+// served, in 36 of 66 runs.
 TEST(StoppingNode, ABurstDoesNotFillTheFleetOfTheseTests) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
@@ -78,14 +81,15 @@
   const CallingWorker second(fleet, 1);
   SteadyClients clients(fleet, 2);
   RunFor(fleet.loop, std::chrono::milliseconds(300));
-  // What comes in 0.3 s.
+  // The number of requests that arrive in 0.3 s.
   clients.SendAtOnce(12);
   RunFor(fleet.loop, std::chrono::milliseconds(300));
   clients.Finish();
   CHECK_EQUAL_TEXT(clients.sent(), clients.Count(200), (clients.NotServed() + fleet.Log()).c_str());
 }
 
-// A service with one node: what it can finish is served, what it cannot is refused, nothing is cut.
+// The only node of a service serves the requests that it can finish, refuses the others and cuts
+// none.
 TEST(StoppingNode, TheLastNodeOfAServiceServesWhileItTakesRequests) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
@@ -99,13 +103,13 @@
   CHECK_EQUAL(0, leaving.calls_cut());
   CHECK_EQUAL(0, clients.Count(503, {}, told_to_stop + kTakesRequests - kSlack));
   CHECK_EQUAL(0, clients.Count(200, told_to_stop + kTakesRequests + kSlack));
-  // Until the process ends each request is served whole or truly refused.
+  // Until the process ends each request is served completely or refused with 503.
   CHECK_EQUAL(0, clients.Count(0, {}, ended));
   CHECK_EQUAL(0, clients.Count(502, {}, ended));
   CHECK(elapsed < kTakesRequests + kSlack);
 }
 
-// The workers beside all nodes answer nothing until they are told to.
+// Makes all workers keep their requests unanswered, in `held`.
 static void HoldRequests(Fleet& fleet, std::vector<http::ExchangePtr>* held) {
   for (Fleet::Node& node : fleet.nodes) {
     node.worker->set_behaviour(
@@ -122,7 +126,7 @@
   return fleet.Begin(node, "POST", "/send/1", "", headers);
 }
 
-// Whether one line of the log has all of `parts`.
+// Whether a single line of the log contains all of `parts`.
 static bool Logged(const std::string& log, const std::vector<std::string>& parts) {
   for (size_t begin = 0; begin < log.size();) {
     const size_t end = std::min(log.find('\n', begin), log.size());
@@ -170,7 +174,8 @@
                              "forwarded_cut=0", "holds_keys=false"}));
 }
 
-// Whose runs are still at work when clients are refused already need their calls in order to end.
+// Runs that are still in progress when new client requests are already refused need their nested
+// calls in order to finish.
 TEST(StoppingNode, ACallThatCouldOutliveTheNodeIsRefusedUnsent) {
   Fleet fleet({"plain", "other"});
   fleet.nodes[0].settings.bounds.grace_period = std::chrono::milliseconds(4000);
@@ -206,7 +211,7 @@
   CHECK(Logged(fleet.Log(), {"event=stopped", "requests_cut=0", "refused=2"}));
 }
 
-// Before others are told of the stop, too.
+// Applies also before the other nodes are notified of the stop.
 TEST(StoppingNode, AForwardedRequestThatCouldOutliveTheNodeRunsElsewhere) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.nodes[0].settings.bounds.grace_period = std::chrono::milliseconds(2200);
@@ -220,19 +225,19 @@
   }
   CHECK(Logged(fleet.Log(),
                {"event=forwarded_request_failed", "reason=stopping", "verdict=not-run"}));
-  // What is over in time runs there.
+  // Requests whose deadline is early enough still run on the stopping node.
   http::Headers quick;
   quick.Add("Deadline-Ms", "400");
   for (int count = 0; count < 20; ++count) fleet.Request(2, "POST", "/send/1", "order", quick);
   CHECK(fleet.nodes[0].worker->executed().size() > 0);
 }
 
-// It may not have talked to the node since that was told to stop.
+// The forwarding node may not have contacted the stopping node since the stop.
 TEST(StoppingNode, ANodeThatDoesNotKnowOfTheStopIsRefusedAndTriesAnother) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
   SilenceStore(fleet);
-  // Keeps the stopping node from ending, beside the other worker.
+  // A request held by the other worker keeps the stopping node from ending.
   std::vector<http::ExchangePtr> held;
   fleet.nodes[1].worker->set_behaviour([&](const http::ExchangePtr& exchange) {
     if (RequestId(exchange->request()) == "running") {
@@ -255,7 +260,8 @@
   CHECK_FALSE(stopped);
 }
 
-// A restarted process cannot serve before the store answers: until then its worker is missed.
+// A restarted process cannot serve before the store answers, so its worker's capacity is missing
+// until then: the stopping node is used as long as it accepts requests.
 TEST(StoppingNode, ItIsUsedWhileItTakesRequestsAndTheOthersAreFull) {
   constexpr size_t kSlotsOfOthers = 8;
   Fleet fleet({"plain", "plain", "plain", "other"});
@@ -273,7 +279,7 @@
       return held.size() >= kSlotsOfOthers;
     }));
   };
-  // The nodes measure how long a run takes.
+  // Lets the nodes measure the duration of a run.
   fill();
   RunFor(fleet.loop, std::chrono::milliseconds(600));
   for (const auto& exchange : held) AnswerRun(exchange, 200);
@@ -290,11 +296,12 @@
   CHECK_EQUAL(kSlotsOfOthers, held.size());
 }
 
-// It has not run, and may run elsewhere; a connection that closes would not say so.
+// A queued request has not run and may run elsewhere; only a refusal tells the caller so, a closed
+// connection does not.
 TEST(StoppingNode, WhatStillWaitsAtTheEndIsRefused) {
   constexpr size_t kSlots = 4;
   Fleet fleet({"plain", "other"});
-  // The end comes before the deadlines of what was taken before the stop.
+  // The process ends before the deadlines of requests accepted before the stop.
   fleet.nodes[0].settings.bounds.grace_period = std::chrono::milliseconds(1600);
   fleet.Start();
   std::vector<http::ExchangePtr> held;
@@ -324,7 +331,8 @@
   fleet.Start();
   bool stopped = false;
   fleet.nodes[0].sidecar->Stop([&] { stopped = true; });
-  // Nobody takes the keys: a request for one waits a quarter of its target latency, past the end.
+  // No worker can take the keys: a request for one waits for a quarter of its target latency, which
+  // ends after the stop.
   RunFor(fleet.loop, std::chrono::milliseconds(2150));
   http::Headers keyed;
   keyed.Add("Shard-Key", "7");
@@ -356,12 +364,13 @@
   CHECK_EQUAL(clients.sent(), clients.Count(200));
 }
 
-// Keys that are released and cannot be handed over are served by nobody.
+// Keys that are released while they cannot be handed over would be served by no worker.
 TEST(StoppingNode, WithoutTheStoreItServesItsKeysAndHandsThemOverLater) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
   const size_t leaving = *fleet.HolderOf(0);
-  // Watches wait at the store again: one that is sent while it is silent hears nothing for long.
+  // Lets the watches reach the store first: a watch sent while the store does not answer would get
+  // no events for a long time.
   RunFor(fleet.loop, std::chrono::milliseconds(500));
   SilenceStore(fleet);
   bool stopped = false;
@@ -383,7 +392,7 @@
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
   const size_t leaving = *fleet.HolderOf(0);
-  // The next renewals of leases are due long after the stop.
+  // The next lease renewals are then due long after the stop.
   const uint64_t renewals = fleet.store.calls("/runshelf/kv-keep");
   CHECK(RunUntil(fleet.loop, [&] {
     return fleet.store.calls("/runshelf/kv-keep") >= renewals + fleet.nodes.size();
@@ -394,7 +403,8 @@
       std::chrono::seconds(1)));
 }
 
-// Others may take the keys of a node whose item is gone: not while its worker may still hold them.
+// Other nodes may take the keys of a node whose item has been deleted, which must not happen while
+// its worker may still hold them.
 TEST(StoppingNode, ItsLeaseIsNotEndedWhileItsWorkerMayHoldKeys) {
   Fleet fleet({"keyed", "keyed", "other"});
   for (Fleet::Node& node : fleet.nodes) {
--- a/tests/platform_adapter/store_restore_test.cc
+++ b/tests/platform_adapter/store_restore_test.cc
@@ -1,5 +1,5 @@
-// The store comes back from an older copy of its data: revisions, leases and what nodes wrote go
-// back.
+// The store is restored from an older snapshot of its data, which rolls back revisions, leases and
+// everything that nodes have written since.
 
 #include <CppUTest/TestHarness.h>
 #include <fmt/format.h>
@@ -19,24 +19,24 @@
 
 namespace {
 
-// Requests for a key are refused while its grants are renewed under new tokens: less than clients
-// wait for an answer.
+// Longest time for which requests for a key may be refused while its grants are renewed under new
+// tokens; shorter than clients wait for an answer.
 constexpr Duration kLongestGap = std::chrono::milliseconds(500);
 constexpr Duration kAway = std::chrono::milliseconds(300);
-// By then every node acts on a change that the operator has written.
+// Time after which every node uses a configuration that the operator has written.
 constexpr Duration kConfigurationBound = std::chrono::seconds(2);
-// Grants that were given before the restore end within 8 s; then come a change of the map and the
-// next grants.
+// Grants from before the restore expire within 8 s; a change of the shard map and the next grants
+// follow.
 constexpr Duration kSettleTime = std::chrono::seconds(12);
 constexpr Duration kJudgeInterval = std::chrono::milliseconds(5);
 
-// The longest lease of a node, which no grant outlasts, and the time for a change of the map and
-// the grants.
+// The longest lease of a node, which no grant outlasts, plus the time for a change of the shard map
+// and for the grants.
 constexpr Duration kKeysBackWithin = std::chrono::seconds(10);
 
 enum class Restarts { kNone, kAll };
 
-// Each era of the store has a map of its own, the latest being in force.
+// Key of the shard map in force: each era of the store has its own map, and the latest one applies.
 std::string MapKey(const Fleet& fleet) {
   constexpr store::StoreEra kLatestEra = 5;
   store::StoreEra era = kLatestEra;
@@ -46,7 +46,7 @@
   return sidecar::ShardMapKey{"keyed", era}.ToString();
 }
 
-// What a planner writes that moves all shards of node `from` to node `to`.
+// Writes what the shard planner would write to move all shards of node `from` to node `to`.
 void PlanMoves(Fleet* fleet, size_t from, size_t to) {
   const std::string key = MapKey(*fleet);
   auto map = sharding::ShardMap::Parse(*fleet->store.Find(key));
@@ -58,7 +58,7 @@
   fleet->store.Put(key, map->Serialize());
 }
 
-// Sees which worker takes which keys, and judges it.
+// Records which worker holds which keys and reports violations of exclusive ownership.
 class OwnershipWatch {
  public:
   explicit OwnershipWatch(Fleet* fleet)
@@ -111,7 +111,8 @@
   event::Timer timer_;
 };
 
-// The store is away, and comes back from `copy`. Nodes that start again do so as it returns.
+// Makes the store unavailable for `kAway` and restores it from `copy`. With Restarts::kAll, all
+// nodes restart as the store becomes available again.
 void RestoreStore(Fleet* fleet, const FakeStore::Copy& copy, Restarts restarts) {
   fleet->store.set_fault(FakeStore::Fault::kReset);
   RunFor(fleet->loop, kAway);
@@ -128,7 +129,7 @@
   });
 }
 
-// Keys move from one node to another while the copy that is restored has the move under way.
+// Moves keys from one node to another, then restores a snapshot in which the move is in progress.
 void CheckKeysThatMoved(routes::GrantDelivery delivery, Restarts restarts) {
   Fleet fleet({"keyed", "keyed", "keyed", "other"}, delivery);
   fleet.Start();
@@ -147,7 +148,7 @@
   for (uint32_t key = 0; key < 65536; key += 8000) CHECK_EQUAL(200, fleet.Keyed(3, key)->status);
 }
 
-// All nodes are lost beside a restore, and once more while keys wait for the grants of before.
+// Restarts all nodes during a restore, and again while keys wait for the former grants to expire.
 void CheckThatKeysAreBackInTime(routes::GrantDelivery delivery) {
   Fleet fleet({"keyed", "keyed", "keyed", "other"}, delivery);
   fleet.Start();
@@ -168,8 +169,8 @@
 
 TEST_GROUP(StoreRestore){};
 
-// A configuration that was written after a restore was dropped for its revision: 404 for a route
-// that it had added, 2 s and more after it was acknowledged.
+// Guards against dropping a configuration written after a restore because of its lower revision: a
+// route that it added was answered with 404 for 2 s and more after the write was acknowledged.
 TEST(StoreRestore, AConfigurationWrittenAfterwardsIsInForceInTime) {
   Fleet fleet({"plain", "keyed", "keyed", "other"});
   fleet.Start();
@@ -186,8 +187,8 @@
       fleet.loop, [&] { return AllHaveVersion(fleet, 7); }, kConfigurationBound));
 }
 
-// A watch from a revision that the store has given up was refused, and made again at once from the
-// same revision, 14 times a second on each node.
+// Guards against retrying a refused watch at once from the same revision, which the store no longer
+// has: each node repeated it 14 times a second.
 TEST(StoreRestore, RefusedWatchesAreNotRepeatedInALoop) {
   Fleet fleet({"plain", "keyed", "keyed", "other"});
   fleet.Start();
@@ -203,18 +204,18 @@
   CHECK(fleet.store.calls("/runshelf/kv-watch") - before <= most);
 }
 
-// A restored shard map had the move under way that had long been done: the move was made again,
-// under the same token, while the worker that had the keys still held them.
+// Guards against repeating a completed move that the restored shard map shows as in progress: it
+// was repeated under the same token, while the worker that had received the keys still held them.
 TEST(StoreRestore, KeysThatMovedSinceTheCopyHaveOneHolder) {
   CheckKeysThatMoved(routes::GrantDelivery::kCalls, Restarts::kNone);
 }
 
-// The same, when no node lives on that remembers the map as it was.
+// The same when all nodes restart, so that none remembers the map from before the restore.
 TEST(StoreRestore, KeysThatMovedSinceTheCopyHaveOneHolderWhenAllNodesStartAgain) {
   CheckKeysThatMoved(routes::GrantDelivery::kCalls, Restarts::kAll);
 }
 
-// The same with keys that travel in heartbeats.
+// The same with keys granted in heartbeat answers.
 TEST(StoreRestore, LeasedKeysThatMovedSinceTheCopyHaveOneHolder) {
   CheckKeysThatMoved(routes::GrantDelivery::kHeartbeats, Restarts::kNone);
 }
@@ -223,8 +224,8 @@
   CheckKeysThatMoved(routes::GrantDelivery::kHeartbeats, Restarts::kAll);
 }
 
-// Changes of the shard map were made from a revision that the store had given up, and all failed:
-// the keys of a worker that left were served by nobody.
+// Guards against basing changes of the shard map on a revision that the store no longer has: all
+// of them failed, and no worker served the keys of a worker that had left.
 TEST(StoreRestore, KeysOfAWorkerThatLeavesAfterwardsMove) {
   Fleet fleet({"keyed", "keyed", "keyed", "other"});
   fleet.Start();
@@ -248,7 +249,7 @@
   watch.ExpectNoViolation();
 }
 
-// Nobody has to wait for the grants of before where the worker that had the keys keeps them.
+// Keys that stay with their worker need not wait for the former grants to expire.
 TEST(StoreRestore, KeysAreServedWhileTheStoreGoesBack) {
   Fleet fleet({"keyed", "keyed", "keyed", "other"});
   fleet.Start();
@@ -271,7 +272,7 @@
   CHECK(end - served_at < kLongestGap);
 }
 
-// Each time the tokens go up and the owners stay.
+// After each restore the fencing tokens increase and the owners stay.
 TEST(StoreRestore, TheStoreMayGoBackMoreThanOnce) {
   Fleet fleet({"keyed", "keyed", "keyed", "other"});
   fleet.Start();
@@ -286,7 +287,7 @@
   RunFor(fleet.loop, std::chrono::seconds(1));
   RestoreStore(&fleet, *second, Restarts::kNone);
   RunFor(fleet.loop, std::chrono::milliseconds(200));
-  // From before the former one.
+  // An older snapshot than the one restored before.
   RestoreStore(&fleet, *first, Restarts::kNone);
   fleet.store.Put("op/config", TestConfiguration(9, "other"));
   CHECK(RunUntil(
@@ -296,7 +297,8 @@
   CHECK(fleet.EveryKeyHeld());
 }
 
-// A change that was sent before and is done late has a condition that may hold by accident.
+// The condition of a write that was sent before a restore and is executed after it may hold by
+// accident, because revisions are reused.
 TEST(StoreRestore, AChangeOfTheMapThatIsDoneLateTakesNoKeys) {
   Fleet fleet({"keyed", "keyed", "keyed", "other"});
   fleet.Start();
@@ -307,7 +309,7 @@
   PlanMoves(&fleet, from, (from + 1) % 3);
   CHECK(RunUntil(fleet.loop, [&] { return fleet.store.held() > 0; }));
   RestoreStore(&fleet, *copy, Restarts::kNone);
-  // The revision that the change was made from is given out again.
+  // Reuses the revision on which the delayed change is based.
   PlanMoves(&fleet, from, (from + 2) % 3);
   fleet.store.CarryOutHeld();
   RunFor(fleet.loop, kSettleTime);
@@ -315,7 +317,8 @@
   CHECK(fleet.EveryKeyHeld());
 }
 
-// Lease ids are given out again: a node that renewed its former one would keep another's item.
+// Lease ids are reused after a restore: a node that renewed its former lease would keep another
+// node's item alive.
 TEST(StoreRestore, EachNodeTakesALeaseOfItsOwn) {
   Fleet fleet({"plain", "keyed", "other"});
   const auto copy = fleet.store.TakeCopy();
@@ -332,7 +335,8 @@
   CHECK(fleet.store.Find("runshelf/nodes/n1") != nullptr);
 }
 
-// What was acknowledged to an operator or a worker and is in no copy is written again.
+// Nodes rewrite items that were acknowledged to an operator or a worker and are not in the
+// snapshot.
 TEST(StoreRestore, AcknowledgedItemsAreWrittenAgain) {
   Fleet fleet({"plain", "keyed", "keyed", "other"});
   fleet.Start();
@@ -353,8 +357,8 @@
   STRCMP_EQUAL(fleet.nodes[0].worker->life().c_str(), fleet.store.Find(drain)->c_str());
 }
 
-// What a node had written again, and not seen again when the store went back once more, was not
-// written a third time.
+// Guards against losing a rewritten item: when the store was restored again before the node had
+// seen its rewrite in a watch, the node did not write the item a third time.
 TEST(StoreRestore, ItemsThatWereWrittenAgainAreSoAfterTheNextRestore) {
   Fleet fleet({"plain"});
   fleet.Start();
@@ -367,7 +371,7 @@
   CHECK(fleet.store.Find(cell) == nullptr);
   CHECK(RunUntil(
       fleet.loop, [&] { return fleet.store.Find(cell) != nullptr; }, std::chrono::seconds(3)));
-  // The answer has been read.
+  // Time for the node to read the answer to its write.
   RunFor(fleet.loop, std::chrono::milliseconds(60));
   fleet.store.Restore(*copy);
   fleet.store.set_watches_silent(false);
@@ -377,13 +381,13 @@
   STRCMP_EQUAL(R"({"weight":3,"limit":7})", fleet.store.Find(cell)->c_str());
 }
 
-// Each process that started waited for the end of former grants from its own start on: keys were
-// served by nobody for 8 s after the last one, however long ago the store had come back.
+// Guards against counting the wait for former grants from the start of each process: no worker
+// served the keys until 8 s after the last start, however long ago the store had been restored.
 TEST(StoreRestore, KeysAreBackInTimeThoughNodesStartAgainMeanwhile) {
   CheckThatKeysAreBackInTime(routes::GrantDelivery::kCalls);
 }
 
-// The same with keys that travel in heartbeats.
+// The same with keys granted in heartbeat answers.
 TEST(StoreRestore, LeasedKeysAreBackInTimeThoughNodesStartAgainMeanwhile) {
   CheckThatKeysAreBackInTime(routes::GrantDelivery::kHeartbeats);
 }
