--- a/tests/platform_adapter/heartbeat_keys_test.cc
+++ b/tests/platform_adapter/heartbeat_keys_test.cc
@@ -1,5 +1,5 @@
-// Keys that travel in heartbeats: who holds which, as workers see it, when nodes and workers
-// restart, leave, are lost or cut off.
+// Keys granted in heartbeat answers: which worker holds which keys when nodes and workers restart,
+// drain, are lost or are cut off.
 
 #include <CppUTest/TestHarness.h>
 #include <fmt/format.h>
@@ -23,7 +23,7 @@
       sequence, rows);
 }
 
-// What a planner writes that knows the machine's former worker only.
+// Writes what a shard planner would write that knows only the former worker of the machine.
 void GiveShardsToFormerWorker(Fleet* fleet, size_t node) {
   const std::string key = "runshelf/shards/keyed";
   auto map = sharding::ShardMap::Parse(*fleet->store.Find(key));
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-TEST_GROUP(HeartbeatKeys){// The worker that holds `key`, once a request for it is served.
+TEST_GROUP(HeartbeatKeys){// The node of the worker that holds `key`, once a request is served.
                           static size_t ServedBy(Fleet * fleet, uint32_t key){
                               const Instant end = fleet->loop.Now() + std::chrono::seconds(8);
 std::optional<Fleet::Answer> answer;
@@ -92,11 +92,12 @@
   CHECK(fleet.nodes[ServedBy(&fleet, 0)].worker->Holds(0)->fence > fence);
 }
 
-// An answer waits for 600 ms at most. On a machine that stood still for so long, another try tells.
+// The answer to a heartbeat is delayed by 600 ms at most. An attempt during which the machine was
+// suspended for that long is repeated.
 constexpr Duration kWaitedInVain = std::chrono::milliseconds(580);
 constexpr int kTries = 3;
 
-// Without it the worker serves nothing until its next heartbeat.
+// Without its keys in the answer the worker serves nothing until its next heartbeat.
 TEST(HeartbeatKeys, TheAnswerToTheFirstHeartbeatOfANewIncarnationHasItsKeys) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   fleet.Start();
@@ -140,15 +141,16 @@
   CHECK(fleet.loop.Now() - start < std::chrono::seconds(1));
 }
 
-// A node that stood still for seconds first gave up the shards, whose grants had run out, and then
-// answered the heartbeat that had waited all the time, with all of them: two workers held them.
+// Guards against granting shards that have been given up: a node that was suspended for seconds
+// first gave up the shards whose grants had expired, and then granted all of them in the answer to
+// a heartbeat received meanwhile, so that two workers held them.
 TEST(HeartbeatKeys, AShardThatWasGivenUpIsNotGrantedAgain) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   for (Fleet::Node& node : fleet.nodes) node.settings.bounds.max_hold = std::chrono::seconds(1);
   fleet.Start();
   FakeWorker& worker = *fleet.nodes[0].worker;
   worker.set_heartbeats_cut(true);
-  // The node cannot write yet that it gave the shards up.
+  // The node cannot yet write to the store that it gave up the shards.
   fleet.store.set_fault_filter([](const http::Request& request) {
     return request.body.find("runshelf/shards/") != std::string::npos;
   });
@@ -160,16 +162,17 @@
   CHECK_FALSE(Contains(answer->body, "\"holds\":[["));
 }
 
-// Another node whose record of this machine is older than the map gives the shards to the worker
-// that was there before. The node that stops took them for those of a worker that had ended, and
-// gave them up, while the present one held them: the next owner's worker held them as well. Seen
-// where a worker and then its node ended while the store was away, so that the record was late.
+// Guards against giving up shards that the present worker holds: another node, whose record of this
+// machine is older than the map, assigns the shards to the machine's former worker. The stopping
+// node gave them up as those of a worker that had ended, and the next owner's worker held them as
+// well. Occurs when a worker and then its node end while the store is unavailable, so that the
+// record is out of date.
 TEST(HeartbeatKeys, AStoppingNodeGivesNothingAwayThatItsWorkerHolds) {
   for (const auto delivery : {kByHeartbeat, routes::GrantDelivery::kCalls}) {
     Fleet fleet({"keyed", "keyed", "other"}, delivery);
     fleet.Start();
     const size_t leaving = *fleet.HolderOf(0);
-    // The worker goes on holding what no answer and no order takes away.
+    // The worker keeps its keys, because no answer and no order to release them reaches it.
     fleet.nodes[leaving].worker->set_heartbeats_cut(true);
     fleet.nodes[leaving].worker->set_order_faults([] {
       FakeWorker::OrderFault fault;
@@ -177,7 +180,7 @@
       return fault;
     });
     fleet.nodes[leaving].sidecar->Stop([] {});
-    // The store has answered since: the node may give its keys up.
+    // The store has answered since the stop, so the node may give up its keys.
     RunFor(fleet.loop, std::chrono::milliseconds(50));
     GiveShardsToFormerWorker(&fleet, leaving);
     const Instant end = fleet.loop.Now() + std::chrono::milliseconds(1500);
@@ -235,7 +238,7 @@
   CHECK_EQUAL(200, fleet.Keyed(2, 0)->status);
 }
 
-// Its heartbeats do not reach the node, but requests reach the worker.
+// The worker's heartbeats do not reach the node, but requests reach the worker.
 TEST(HeartbeatKeys, AWorkerThatIsCutOffKeepsItsKeysWhileTheGrantLastsThenOthersGetThem) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   for (auto& node : fleet.nodes) node.settings.bounds.max_hold = std::chrono::milliseconds(2500);
@@ -249,7 +252,7 @@
       fleet.loop, [&] { return fleet.HolderOf(0).has_value() && *fleet.HolderOf(0) != cut; },
       std::chrono::seconds(6)));
   CHECK_EQUAL(1, fleet.HoldersOf(0));
-  // The keys do not go back to a worker that cannot be told of them.
+  // The keys are not reassigned to a worker that cannot receive grants.
   RunFor(fleet.loop, std::chrono::seconds(2));
   CHECK(*fleet.HolderOf(0) != cut);
 }
@@ -292,8 +295,8 @@
   CHECK_EQUAL(200, fleet.Keyed(2, 0)->status);
 }
 
-// A worker may have seen a higher fence than the map knows: from a node that did not live to write
-// the map, or by somebody's mistake.
+// A worker may have seen a higher fencing token than the map contains: from a node that was lost
+// before it wrote the map, or from a faulty order.
 TEST(HeartbeatKeys, AWorkerThatSawAHigherFenceGetsTheKeysAboveIt) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   fleet.Start();
@@ -319,14 +322,14 @@
   CHECK(worker.Holds(0) == nullptr);
 }
 
-// Keys between two owners: a first attempt is refused early and told to come back when the move is
-// over; one that comes back, with less time than usual, waits for the keys.
+// While keys move between two owners, a first attempt is refused early, with a Retry-After for the
+// end of the move; a retry, which has less time left than usual, waits for the keys.
 TEST(HeartbeatKeys, KeysThatChangeHandsAreWaitedForBySecondAttempts) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   fleet.Start();
   const size_t holder = *fleet.HolderOf(0);
   CHECK_EQUAL(200, fleet.Keyed(2, 0)->status);
-  // The worker loses its keys; its node cannot give them again before its next heartbeat.
+  // The worker loses its keys; its node cannot grant them again before its next heartbeat.
   fleet.nodes[holder].worker->set_heartbeats_cut(true);
   const FakeWorker::Grant old = *fleet.nodes[holder].worker->Holds(0);
   const std::string order =
@@ -337,7 +340,7 @@
   CHECK_EQUAL(503, first->status);
   const std::string* retry_after = first->headers.Find("Retry-After");
   CHECK(retry_after != nullptr);
-  // Half of the heartbeat interval of 100 ms at least, spread by half.
+  // At least half of the heartbeat interval of 100 ms, plus up to 50 % of random spread.
   CHECK(std::stod(*retry_after) >= 0.05 && std::stod(*retry_after) <= 0.08);
 
   http::Headers headers;
@@ -358,11 +361,12 @@
   }
   fleet.Start();
   CHECK_EQUAL(200, fleet.Keyed(1, 0)->status);
-  // Nobody else can take its keys, and it says that it leaves without any further heartbeat.
+  // No other worker can take the keys, and the worker announces its leave without further
+  // heartbeats.
   fleet.nodes[0].worker->set_heartbeats_cut(true);
   const auto& worker = *fleet.nodes[0].worker;
   CHECK_EQUAL(200, fleet.Leave(0, worker.id())->status);
-  // Its keys are still its own.
+  // The worker still holds its keys.
   CHECK_EQUAL(200, fleet.Keyed(1, 0)->status);
   RunFor(fleet.loop, std::chrono::milliseconds(600));
   const size_t executed = worker.executed().size();
--- a/tests/platform_adapter/restored_quarantine_test.cc
+++ b/tests/platform_adapter/restored_quarantine_test.cc
@@ -1,4 +1,5 @@
-// Requests that end their workers, while the store comes back from older copies of its data.
+// Quarantine of requests that crash their workers while the store is restored from older snapshots
+// of its data.
 
 #include <CppUTest/TestHarness.h>
 
@@ -17,21 +18,22 @@
 
 namespace {
 
-// The first three ends, and three more that users allow.
+// The first three crashes and at most three further runs.
 constexpr size_t kAllowedInAll = 6;
-// Users allow three more runs, later than this after the third end.
+// Requirement: at most three further runs later than this after the third crash.
 constexpr Duration kTimeToLearn = seconds(3);
 constexpr size_t kAllowedLater = 3;
 constexpr Duration kCallerInterval = milliseconds(250);
 constexpr Duration kWatched = seconds(11);
-// An answer of the store is read within this time.
+// Time within which a node reads an answer of the store.
 constexpr Duration kTimeToRead = milliseconds(60);
-// Workers tell of themselves several times within this time.
+// Time within which each worker sends several heartbeats.
 constexpr Duration kTimeToTell = milliseconds(300);
-// The nodes that remember an end write it again sooner than this.
+// Time within which the nodes that know of a crash rewrite its item.
 constexpr Duration kTimeToWrite = seconds(1);
 constexpr Duration kAway = milliseconds(300);
-// Nodes that start wait this long for others that remember, and then write that none does.
+// Time for which starting nodes wait for others that kept their state, before they record that none
+// did.
 constexpr Duration kTimeToMissOthers = seconds(8);
 const char* const kFatal = "/send/fatal";
 const std::vector<std::string> kFleet{"other", "other", "other", "plain",
@@ -41,15 +43,15 @@
   return "runshelf/worker-ends/" + worker_life + "/" + fleet.nodes[node].settings.node_name;
 }
 
-// What becomes of the node that took the request, and whose attempt broke off.
+// Whether the node that received the request, and whose attempt failed, survives.
 enum class Sender { kLives, kLost };
 
-// A worker ends under the request that node `taker` takes. The store acknowledges what nodes write
-// of it, and goes back to a copy without it before any watch has brought it. Returns the key of the
-// end.
+// Crashes a worker by a request sent to node `taker`. The store acknowledges the items that nodes
+// write about the crash, and is restored from a snapshot without them before any watch has
+// delivered them. Returns the key of the crash item.
 std::string EndThatTheStoreForgets(Fleet& fleet, CrashingWorkers& workers, size_t taker,
                                    Sender sender) {
-  // Its node knows which life of the worker this is.
+  // Lets each node learn the incarnation of its worker.
   RunFor(fleet.loop, kTimeToTell);
   std::vector<std::string> lives;
   for (const Fleet::Node& node : fleet.nodes) lives.push_back(node.worker->life());
@@ -69,13 +71,14 @@
   return key;
 }
 
-// All workers are up and known, and the next trial may begin.
+// Waits until all workers are up and known to their nodes and the next trial run may begin.
 void WaitForWorkers(Fleet& fleet, CrashingWorkers& workers) {
   CHECK(RunUntil(fleet.loop, [&] { return workers.AllUp(); }));
   RunFor(fleet.loop, seconds(2));
 }
 
-// The request comes at the first three nodes for long; it reaches no more workers than users allow.
+// Sends the request to the first three nodes repeatedly, and checks that it reaches no more workers
+// than allowed.
 void CheckThatItReachesFewWorkers(Fleet& fleet, CrashingWorkers& workers) {
   RepeatingCaller caller(fleet, {0, 1, 2}, {"POST", kFatal, "order 666", {}}, kCallerInterval);
   RunFor(fleet.loop, kWatched);
@@ -84,7 +87,7 @@
   CHECK_COMPARE(workers.Begun(kFatal).size(), <=, kAllowedInAll);
 }
 
-// A worker ends under the request that node `taker` takes.
+// Crashes a worker by a request sent to node `taker`.
 void EndWorker(Fleet& fleet, CrashingWorkers& workers, size_t taker) {
   RunFor(fleet.loop, kTimeToTell);
   const size_t ends = workers.ends();
@@ -93,7 +96,7 @@
   WaitForWorkers(fleet, workers);
 }
 
-// All nodes are killed while the store is away, which comes back from the copy.
+// Restarts all nodes while the store is unavailable and is restored from `copy`.
 void LoseAllNodes(Fleet& fleet, const FakeStore::Copy& copy) {
   fleet.store.set_fault(FakeStore::Fault::kReset);
   RunFor(fleet.loop, kAway);
@@ -112,8 +115,8 @@
 
 TEST_GROUP(RestoredQuarantine){};
 
-// A node had written the end of its worker, and not seen it again when the store went back: it was
-// in no copy of the state that the node compared, and nobody wrote it again.
+// Guards against losing a crash item that a node had written but not yet seen in a watch when the
+// store was restored: the state that the node compared did not contain it, and no node rewrote it.
 TEST(RestoredQuarantine, AnEndThatWasAcknowledgedAndNotSeenIsWrittenAgain) {
   Fleet fleet(kFleet);
   fleet.Start();
@@ -123,8 +126,9 @@
       fleet.loop, [&] { return fleet.store.Find(key) != nullptr; }, kTimeToWrite));
 }
 
-// The store had acknowledged an end and passed it on to nobody: the node that had written it was
-// lost, and the others, which it had not told, knew nothing when the store went back.
+// Guards against losing a crash item that the store acknowledged but delivered in no watch: the
+// node that had written it was lost, and the other nodes, which it had not notified, did not know
+// of the crash when the store was restored.
 TEST(RestoredQuarantine, AnEndThatNoWatchBringsIsToldDirectly) {
   Fleet fleet(kFleet);
   fleet.Start();
@@ -148,7 +152,7 @@
       fleet.loop, [&] { return fleet.store.Find(key) != nullptr; }, kTimeToWrite));
 }
 
-// The request reached workers again for each end that was forgotten in this way.
+// Guards against one further run of the request for each crash item lost in this way.
 TEST(RestoredQuarantine, EndsThatTheStoreForgotCostNoFurtherRuns) {
   Fleet fleet(kFleet);
   fleet.Start();
@@ -161,8 +165,9 @@
   CheckThatItReachesFewWorkers(fleet, workers);
 }
 
-// Trials that a node had counted at the store, and not seen again when it went back, were known to
-// that node alone: the other nodes began as many once more.
+// Guards against repeated trial runs: trials that a node had counted in the store, but not yet seen
+// in a watch when the store was restored, were known to that node alone, and the other nodes began
+// as many again.
 TEST(RestoredQuarantine, TrialsThatTheStoreForgotAreStillCounted) {
   Fleet fleet(kFleet);
   fleet.Start();
@@ -179,8 +184,8 @@
   CheckThatItReachesFewWorkers(fleet, workers);
 }
 
-// All nodes were lost beside a restore, and with them all that was known of a request that had
-// ended two workers: it ended six more, four of them later than users allow.
+// Guards against losing all records of a request when all nodes are lost during a restore: a
+// request that had crashed two workers crashed six more, four of them later than allowed.
 TEST(RestoredQuarantine, ARequestThatNobodyRemembersReachesNoMoreWorkersThanUsersAllow) {
   Fleet fleet(kFleet);
   fleet.Start();
@@ -194,7 +199,7 @@
       fleet.loop, [&] { return MemoryRecord(fleet, 1) == "lost"; }, kTimeToMissOthers));
 }
 
-// The same, where the forgotten ends were proof already.
+// The same with three lost crashes, which had already put the request into quarantine.
 TEST(RestoredQuarantine, AProvenRequestThatNobodyRemembersReachesNoMoreWorkersThanUsersAllow) {
   Fleet fleet(kFleet);
   fleet.Start();
@@ -206,8 +211,8 @@
   CheckThatItReachesFewWorkers(fleet, workers);
 }
 
-// A fleet that was strict although nobody had forgotten anything refused requests for one end that
-// had another reason.
+// Guards against strict quarantine rules in a fleet that has lost no records: requests were refused
+// after a single crash that had another cause.
 TEST(RestoredQuarantine, NodesThatLiveOnTellThatNothingIsForgotten) {
   Fleet fleet(kFleet);
   fleet.Start();
@@ -225,8 +230,8 @@
   STRCMP_EQUAL("kept", MemoryRecord(fleet, 1).c_str());
 }
 
-// The store went back once more, to a copy from before the loss, which says that nothing is
-// forgotten: the nodes believed it.
+// Guards against trusting the memory record of a snapshot from before the loss, which says that no
+// records were lost, when the store is restored again.
 TEST(RestoredQuarantine, ALossIsRememberedWhenTheStoreGoesBackAgain) {
   Fleet fleet(kFleet);
   fleet.Start();
--- a/tests/platform_adapter/silent_store_connections_test.cc
+++ b/tests/platform_adapter/silent_store_connections_test.cc
@@ -1,5 +1,5 @@
-// Connections to the store that fall silent: how soon the node that leads the feed notices, and
-// what it asks of the store for that.
+// Connections to the store that stop delivering data: how soon the node that leads the feed detects
+// them, and how many calls to the store this takes.
 
 #include <CppUTest/TestHarness.h>
 #include <fmt/format.h>
@@ -18,9 +18,9 @@
 namespace {
 
 constexpr Duration kNoticedWithin = std::chrono::seconds(1);
-// Fleets promise their operators two seconds or more.
+// Fleets guarantee their operators that a change is in force within two seconds or more.
 constexpr Duration kInForceWithin = std::chrono::seconds(2);
-// The leader and the one that stands by.
+// The leader of the feed and its standby.
 constexpr int kWatchingNodes = 2;
 
 bool WatchesConfiguration(const http::Request& request) {
@@ -57,7 +57,8 @@
     return std::all_of(fleet->nodes.begin(), fleet->nodes.end(),
                        [this](const Fleet::Node& node) { return HasLatest(node); });
   }
-  // The leader's and the other's next watch of the configuration reach the store in a silence.
+  // Lets the next configuration watch of the leader and of its standby reach the store while the
+  // store does not answer.
   void LoseNextWatches() {
     int lost = 0;
     fleet->store.set_fault_filter([&](const http::Request& request) {
@@ -74,13 +75,13 @@
     CHECK(RunUntil(fleet->loop, [this] { return AllHaveLatest(); }));
   }
   void teardown() override {
-    proxy.reset();  // It is on the fleet's loop.
+    proxy.reset();  // Uses the event loop of the fleet.
     fleet.reset();
   }
 };
 
-// Guards against a fleet that hears of no change for up to 25 s, since the watches of the leader
-// and of the one that stands by were asked for while the store was silent for a moment.
+// Guards against a fleet that receives no change for up to 25 s, because the leader and its standby
+// sent their watches while the store briefly did not answer.
 TEST(SilentStoreConnections, AWatchThatIsNeverAnsweredIsNoticedWithinASecond) {
   StartFleet({"plain", "other", "other"});
   for (int round = 0; round < 3; ++round) {
@@ -94,8 +95,8 @@
   }
 }
 
-// Guards against a fleet that hears of no change until a renewal of its leader runs out of time,
-// after all open connections to the store have fallen silent for good.
+// Guards against a fleet that receives no change until a lease renewal of its leader times out,
+// after all open connections to the store have permanently stopped delivering data.
 TEST(SilentStoreConnections, SilentConnectionsAreNoticedWithinASecond) {
   StartFleet({"plain", "other", "other"});
   for (int round = 0; round < 4; ++round) {
@@ -105,18 +106,18 @@
         fleet->loop, [this] { return LeaderHasLatest(); }, kNoticedWithin));
     CHECK(RunUntil(
         fleet->loop, [this] { return AllHaveLatest(); }, kInForceWithin - kNoticedWithin));
-    // Another moment between two renewals each time.
+    // Each round starts at a different time between two renewals.
     RunFor(fleet->loop, std::chrono::milliseconds(3150));
   }
 }
 
-// Guards against one lost watch that hides another: its connection and the idle ones are given up,
-// renewals go out on new ones and find nothing, and the other watch waits on for seconds.
+// Guards against one lost watch that hides another: its connection and the idle ones are closed,
+// renewals succeed on new connections, and the other watch keeps waiting for seconds.
 TEST(SilentStoreConnections, AnotherWatchOnASilentConnectionIsNoticedWithinASecond) {
   StartFleet({"plain", "other", "other"});
   for (int round = 0; round < 6; ++round) {
     WriteConfiguration();
-    // The watch of the configuration is past its first, short wait then, that of the state is not.
+    // By then the configuration watch is past its first, short wait; the state watch is not.
     RunFor(fleet->loop, std::chrono::milliseconds(700));
     CHECK(AllHaveLatest());
     fleet->store.Put("runshelf/table/plain/class", fmt::format(R"({{"weight":{}}})", round + 1));
@@ -127,16 +128,17 @@
         fleet->loop, [this] { return LeaderHasLatest(); }, kNoticedWithin));
     CHECK(RunUntil(
         fleet->loop, [this] { return AllHaveLatest(); }, kInForceWithin - kNoticedWithin));
-    // Another moment between two renewals each time.
+    // Each round starts at a different time between two renewals.
     RunFor(fleet->loop, std::chrono::milliseconds(3000 + 100 * round));
   }
 }
 
-// Guards against a quiet fleet that asks the store much more often, only to know that it answers.
+// Guards against many additional calls to the store from an idle fleet only to check that the store
+// answers.
 TEST(SilentStoreConnections, AQuietFleetAsksTheStoreLittle) {
   constexpr uint64_t kSeconds = 6;
   constexpr uint64_t kRenewalsOfANode = kSeconds / 2 + 1;
-  constexpr uint64_t kMostAddedPerSecond = 2;  // Of the whole fleet.
+  constexpr uint64_t kMostAddedPerSecond = 2;  // For the whole fleet.
   StartFleet({"plain", "other", "other", "other", "other", "other"});
   RunFor(fleet->loop, std::chrono::seconds(4));
   const auto calls = [this] {
@@ -149,6 +151,6 @@
   RunFor(fleet->loop, std::chrono::seconds(kSeconds));
   CHECK(calls() - before <=
         fleet->nodes.size() * kRenewalsOfANode + kSeconds * kMostAddedPerSecond);
-  // Renewals have a tenth of the price.
+  // A renewal costs the store a tenth of a watch.
   CHECK(fleet->store.calls("/runshelf/kv-watch") - watches <= kWatchingNodes);
 }
--- a/tests/platform_adapter/undecided_changes_test.cc
+++ b/tests/platform_adapter/undecided_changes_test.cc
@@ -1,5 +1,5 @@
-// A change of the shard map whose outcome the node does not know yet, and the keys that it gives
-// up. Until it is decided the node must not act on the map as it was before.
+// Changes of the shard map that give up keys and whose outcome is not known to the node yet. Until
+// it is known the node must not act on the former map.
 
 #include <CppUTest/TestHarness.h>
 #include <absl/strings/escaping.h>
@@ -17,13 +17,14 @@
 
 namespace {
 
-// Longer than a node takes to give up the shards of a worker that it does not find: grants of its
-// former life last up to 8 s, and 0.6 s for the worker's slower clock and a call; then come probes.
+// Longer than a node takes to give up the shards of a worker that it does not find: grants of the
+// node's former process last up to 8 s, plus 0.6 s for a slower clock of the worker and a call, and
+// the node then probes the worker.
 constexpr Duration kGiveUpTime = std::chrono::seconds(14);
-// In this time another node takes shards that are free, and grants them.
+// Time within which another node takes unassigned shards and grants them.
 constexpr Duration kTakeoverTime = std::chrono::milliseconds(2500);
 
-// The transaction changes the shard map so that some shards have no worker.
+// Whether the request is a transaction that leaves some shards of the map without a worker.
 bool GivesShardsUp(const http::Request& request) {
   if (request.head.target.find("kv-txn") == std::string::npos) return false;
   const auto body = nlohmann::json::parse(request.body);
@@ -39,7 +40,7 @@
   return false;
 }
 
-// No two workers hold `key` at any moment of `time`.
+// Checks that no two workers hold `key` at the same time for the duration `time`.
 void CheckOneHolder(Fleet* fleet, uint32_t key, Duration time) {
   int most = 0;
   RunUntil(
@@ -52,14 +53,15 @@
   CHECK(most <= 1);
 }
 
-// The worker of `node` is neither heard nor found.
+// Suppresses the heartbeats and health-check answers of the worker of `node`, or restores them.
 void HideWorker(Fleet* fleet, size_t node, bool hidden) {
   fleet->nodes[node].worker->set_heartbeats_cut(hidden);
   fleet->nodes[node].worker->set_health_silent(hidden);
 }
 
-// Restarts the node beside the holder of key 0 and runs until it has sent a change that gives its
-// worker's shards up; what becomes of that change is `fault`. Returns the node.
+// Restarts the node of the worker that holds key 0, and runs until the node has sent a change that
+// gives up the worker's shards. The store handles that change according to `fault`. Returns the
+// node.
 size_t RunUntilGivenUp(Fleet* fleet, FakeStore::Fault fault) {
   const size_t holder = *fleet->HolderOf(0);
   const auto sent = std::make_shared<bool>(false);
@@ -77,9 +79,9 @@
   return holder;
 }
 
-// Until the worker of `node` holds key 0, which it must not; or until it has been found and the
-// call under way would be over. The change must be done before the node has written to the store
-// that it found its worker: that would make it fail.
+// Runs until the worker of `node` holds key 0, which it must not, or until the worker has been
+// found and the pending call would have completed. The change must be executed before the node
+// writes to the store that it has found its worker, since that write would make the change fail.
 void RunUntilGranted(Fleet* fleet, size_t node) {
   RunUntil(
       fleet->loop, [&] { return fleet->nodes[node].worker->Holds(0) != nullptr; },
@@ -90,9 +92,9 @@
 
 TEST_GROUP(UndecidedChanges){};
 
-// Issue 21, first incident: a node that was restarted while the store was away gave its worker's
-// shards up, found the worker before the store's answer, and granted it the keys as before. Another
-// node took them.
+// Guards against issue 21, first incident: a node that was restarted while the store was
+// unavailable gave up its worker's shards, found the worker before the store answered, and granted
+// it the former keys, although another node took them.
 TEST(UndecidedChanges, AWorkerFoundMeanwhileIsNotGrantedWhatIsBeingGivenUp) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
@@ -105,14 +107,14 @@
   CHECK(RunUntil(fleet.loop, [&] { return fleet.EveryKeyHeld(); }));
 }
 
-// The same with keys that travel in heartbeats.
+// The same with keys granted in heartbeat answers.
 TEST(UndecidedChanges, AWorkerFoundMeanwhileIsNotLeasedWhatIsBeingGivenUp) {
   Fleet fleet({"keyed", "keyed", "other"}, routes::GrantDelivery::kHeartbeats);
   fleet.Start();
   const size_t holder = RunUntilGivenUp(&fleet, FakeStore::Fault::kHoldWrites);
   HideWorker(&fleet, holder, false);
   RunUntilGranted(&fleet, holder);
-  // A worker that is cut off from its node does not hear that it is to let go.
+  // A worker that is cut off from its node does not receive the order to release its keys.
   HideWorker(&fleet, holder, true);
   fleet.store.set_fault(FakeStore::Fault::kNone);
   fleet.store.CarryOutHeld();
@@ -121,13 +123,13 @@
   CHECK(RunUntil(fleet.loop, [&] { return fleet.EveryKeyHeld(); }));
 }
 
-// A call without an answer may be done seconds later, if its condition still holds.
+// A write without an answer may be executed seconds later, if its condition still holds.
 TEST(UndecidedChanges, AChangeThatIsCarriedOutLateTakesNoKeysFromTheWorker) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
   const size_t holder = RunUntilGivenUp(&fleet, FakeStore::Fault::kHoldWrites);
   HideWorker(&fleet, holder, false);
-  // The node has given the call up long before.
+  // The node's call times out long before the end of this period.
   CheckOneHolder(&fleet, 0, std::chrono::seconds(3));
   fleet.store.set_fault(FakeStore::Fault::kNone);
   fleet.store.CarryOutHeld();
@@ -135,8 +137,8 @@
   CHECK(RunUntil(fleet.loop, [&] { return fleet.EveryKeyHeld(); }));
 }
 
-// The same, when the node that sent the change is not there any more: its next life does not know
-// of it.
+// The same when the node that sent the change has restarted: the new process does not know of the
+// change.
 TEST(UndecidedChanges, AChangeOfAFormerLifeIsNotCarriedOutLate) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
@@ -151,8 +153,8 @@
   CHECK(RunUntil(fleet.loop, [&] { return fleet.EveryKeyHeld(); }));
 }
 
-// A process that starts while the store is away knows nothing of its worker until the store
-// answers; by then the time of its former life's grants is over, and the worker is well.
+// A process that starts while the store is unavailable does not know its worker until the store
+// answers; by then the grants of the former process have expired, although the worker is healthy.
 TEST(UndecidedChanges, AWorkerIsLookedForBeforeItsShardsAreGivenUp) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
@@ -165,7 +167,7 @@
   });
   fleet.Kill(holder);
   fleet.store.set_fault(FakeStore::Fault::kRefuse);
-  // It is found by its next heartbeat.
+  // The node finds the worker only by its next heartbeat.
   fleet.nodes[holder].worker->set_health_silent(true);
   fleet.Restart(holder);
   RunFor(fleet.loop, std::chrono::milliseconds(3700));
