--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -10,23 +10,26 @@
 namespace {
 
 constexpr Duration kWatchInterval = std::chrono::milliseconds(20);
-// This process had no turn for so long: it saw late what had come meanwhile.
+// A gap this long between two watch ticks means that this process was not scheduled and observed
+// events late.
 constexpr Duration kStall = std::chrono::milliseconds(100);
-// Without faults at the start, until the fleet is up.
+// No faults are injected during startup, until the fleet is up.
 constexpr Duration kStartTime = std::chrono::seconds(8);
-// Without faults at the end, until the fleet has recovered.
+// No faults are injected at the end of the run, so that the fleet can recover.
 constexpr Duration kCalmEnd = std::chrono::seconds(18);
-// Requests are measured from the first of these moments before the end to the second: by the first,
-// leases of the last fault have run out; and a planned move of busy keys, half a second, is a small
-// part of the time between.
+// The final success rate is measured from kMeasuredFrom to kMeasuredUntil before the end of the
+// run. The window starts after the leases affected by the last fault have expired, and is long
+// compared with a planned move of busy keys (0.5 s).
 constexpr Duration kMeasuredFrom = std::chrono::seconds(9);
 constexpr Duration kMeasuredUntil = std::chrono::seconds(2);
-// So that these requests change nothing of what else a seed draws.
+// Gives fatal requests a random sequence of their own, so that enabling them does not change the
+// other random choices of a seed.
 constexpr uint64_t kFatalSeedOffset = 3;
-// Every other seed plays a fleet whose workers get their keys in the answers to heartbeats.
+// Workers receive key grants either in heartbeat responses (even seeds) or in calls (odd seeds).
 constexpr uint64_t kWaysOfGranting = 2;
 
-// A quarter of the workers each of "plain" and "other", the rest is divided by key.
+// A quarter of the workers run "plain", a quarter run "other", and half run the sharded service
+// "keyed".
 std::vector<std::string> ServicesOf(size_t nodes) {
   std::vector<std::string> services;
   for (size_t index = 0; index < nodes; ++index) {
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -1,5 +1,5 @@
-// A fleet of real sidecar processes on one machine, disturbed from outside, while callers and
-// workers of this process check what the users were promised.
+// Soak test: runs a fleet of real sidecar processes on one machine, injects faults from outside,
+// and checks the documented guarantees with clients and workers that run in this process.
 #pragma once
 
 #include <cstdint>
@@ -17,28 +17,28 @@
 namespace runshelf::soak {
 
 struct SoakOptions {
-  std::string program;    // Of the sidecar.
-  std::string directory;  // For settings and logs; must exist.
+  std::string program;    // Path of the sidecar executable.
+  std::string directory;  // For settings and log files; must exist.
   uint64_t seed = 1;
-  Duration duration = std::chrono::seconds(60);  // Includes the calm time at the end.
+  Duration duration = std::chrono::seconds(60);  // Includes the fault-free time at the end.
   size_t nodes = 12;
-  bool store_restores = false;  // The store comes back from older copies of its data.
-  bool second_answers = false;  // Workers answer twice.
-  bool fatal_requests = false;  // Some requests end the workers that begin them, until the end.
+  bool store_restores = false;  // Faults include restoring the store from an older snapshot.
+  bool second_answers = false;  // Faults include workers that send a response twice.
+  bool fatal_requests = false;  // Some requests terminate the worker that starts them.
 };
 
 struct SoakResult {
   std::vector<std::string> violations;
-  std::vector<std::string> faults;  // As they were planned.
+  std::vector<std::string> faults;  // The fault plan, one line per fault.
   AnswerCounts counts;
-  bool interrupted = false;  // By a signal: nothing is shown.
-  double served_at_end = 0;  // Share of the requests of the last calm seconds.
+  bool interrupted = false;  // Ended by a signal; the run proves nothing.
+  double served_at_end = 0;  // Fraction of requests served in the final measurement window.
   std::vector<std::string> unserved_at_end;
-  // Of this process, and the longest time that a node took to answer: how busy the machine was.
+  // Scheduling gaps of this process. Shows, like `slowest_answer`, how loaded the machine was.
   int stalls = 0;
-  int fatal_ends = 0;         // Of workers, by requests that end them.
-  size_t second_answers = 0;  // Of workers.
-  Duration slowest_answer{0};
+  int fatal_ends = 0;          // Workers terminated by fatal requests.
+  size_t second_answers = 0;   // Responses that workers sent twice.
+  Duration slowest_answer{0};  // Slowest readiness response of any node.
 };
 
 class Soak {
@@ -66,7 +66,7 @@
   Responsiveness responsiveness_;
   event::Timer watch_timer_;
   event::Timer end_timer_;
-  // Ended from outside: the processes that were started end too.
+  // Stop the run on a signal, so that the child processes are terminated as well.
   event::SignalWatcher terminate_;
   event::SignalWatcher interrupt_;
   event::SignalWatcher hang_up_;
--- a/tests/soak/soak_fleet.cc
+++ b/tests/soak/soak_fleet.cc
@@ -14,35 +14,35 @@
 
 using std::chrono::milliseconds;
 
-// Ports for datagrams among the nodes: below the ephemeral ones, the same on all addresses.
+// First port for datagrams between nodes: below the ephemeral range, the same on all addresses.
 constexpr uint16_t kPeerPort = 21000;
-// Host numbers of the nodes and, after them, of the proxies before them.
+// First host number (last octet) of the nodes and of the proxies in front of them.
 constexpr size_t kFirstHost = 10;
 constexpr size_t kFirstProxyHost = 130;
-// The store takes 4 ms and the way to it some more; health checks wait for a slot. In the incident
-// of the node that granted what it gave up, the two took about 13 ms.
+// The store takes 4 ms plus the network latency, and health checks wait for a slot. In the incident
+// in which a node granted keys that it had given up, the two delays came to about 13 ms.
 constexpr Duration kShortestStoreLatency = milliseconds(4);
 constexpr Duration kLongestStoreLatency = milliseconds(20);
 constexpr Duration kLongestHealthDelay = milliseconds(30);
-// Heartbeat intervals of the platform's deployments are about a second.
+// Production deployments use heartbeat intervals of about one second.
 constexpr Duration kShortestHeartbeat = milliseconds(400);
 constexpr Duration kLongestHeartbeat = milliseconds(1300);
-// How late transactions, orders and heartbeats come that were left unanswered.
+// Delay of transactions, orders and heartbeats that were left unanswered and take effect later.
 constexpr Duration kShortestLateness = milliseconds(300);
 constexpr Duration kLongestLateness = milliseconds(4500);
 constexpr Duration kLateCallTimeout = std::chrono::seconds(1);
 constexpr int kRetryBudgetExtra = 20;
-// More than the clients keep busy when every route leads to one of the two services.
+// Exceeds the number of requests that all clients keep in flight at one of the two services.
 constexpr int kSlots = 28;
-// How long a request that ends its worker runs, and its worker is down.
+// Run time of a request that terminates its worker, and downtime of that worker afterwards.
 constexpr Duration kShortestFatalRun = milliseconds(2);
 constexpr Duration kLongestFatalRun = milliseconds(120);
 constexpr Duration kShortestDown = milliseconds(700);
 constexpr Duration kLongestDown = milliseconds(2500);
-// Of so many lives of a worker one leaves without saying that it drains.
+// One in this many worker instances leaves without announcing that it drains.
 constexpr int kSilentLeaverEvery = 3;
 
-// Each process has other addresses, so that soaks do not meet.
+// Derives the address from the process id, so that concurrent soak runs do not collide.
 std::string AddressOf(size_t host) {
   const auto process = static_cast<unsigned>(getpid());
   return fmt::format("127.{}.{}.{}", 1 + process / 256 % 254, process % 256, host);
@@ -195,7 +195,7 @@
   auto worker = std::make_unique<FakeWorker>(loop_, node->worker_id, node->service);
   worker->set_born(NextBirth());
   SetUpWorker(node, worker.get());
-  // Fails while connections of the former life are still being closed; the caller tries again.
+  // Fails while connections of the previous worker are still being closed; the caller retries.
   if (worker->Listen(node->worker_port) != 0) return;
   node->worker_port = worker->endpoint().port;
   worker->StartHeartbeats(node->control_plane, heartbeat_interval_);
@@ -204,7 +204,7 @@
   ApplyListener(node);
 }
 
-// Milliseconds since 1970; rises, so that no two lives have the same.
+// Milliseconds since the Unix epoch; strictly increasing, so that each worker instance has its own.
 int64_t SoakFleet::NextBirth() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   last_birth_ =
@@ -218,7 +218,7 @@
   if (node->worker == nullptr || node->refuses_connections) {
     node->worker_proxy->StopListening();
   } else {
-    // Retried by the next look when the port is not free yet.
+    // If the port is still in use, the next Watch() retries.
     node->worker_proxy->ListenAgain();
   }
 }
@@ -292,7 +292,7 @@
   return kFaults[random_.Below(std::size(kFaults))];
 }
 
-// Half of the orders are left unanswered; most of these are carried out, at once or late.
+// Leaves half of the orders unanswered. These are still carried out, two thirds of them late.
 SoakFleet::FakeWorker::OrderFault SoakFleet::NextOrderFault(size_t node) {
   FakeWorker::OrderFault fault;
   if (!orders_unanswered_[node] || random_.Below(2) == 0) return fault;
@@ -324,7 +324,8 @@
   held_back_.back()->Start(random_.Between(kShortestLateness, kLongestLateness));
 }
 
-// Nodes find each other through the store: what they read leads to the proxy before each node.
+// Nodes discover each other through the store. Replaces the address in a node's record by that of
+// the proxy in front of the node.
 std::string SoakFleet::ThroughProxy(const std::string& key, const std::string& value) const {
   for (const auto& node : nodes_) {
     if (key != "runshelf/nodes/" + node->name) continue;
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -1,4 +1,4 @@
-// The machines of the soak, with the store, all on the loopback interface.
+// The simulated machines of the soak test and the fake store, all on the loopback interface.
 #pragma once
 
 #include <cstdint>
@@ -20,11 +20,11 @@
 namespace runshelf::soak {
 
 struct FleetOptions {
-  std::string program;    // Of the sidecar.
-  std::string directory;  // For settings and logs; must exist.
+  std::string program;    // Path of the sidecar executable.
+  std::string directory;  // For settings and log files; must exist.
   uint64_t seed = 1;
-  std::vector<std::string> services;  // Of the workers, by node; "keyed" is divided by key.
-  bool keys_in_heartbeats = false;    // Else in calls.
+  std::vector<std::string> services;  // Service of each node's worker; "keyed" is sharded.
+  bool keys_in_heartbeats = false;    // Grants come in heartbeat responses instead of calls.
 };
 
 class SoakFleet {
@@ -38,25 +38,27 @@
 
   // Starts all processes.
   void Start();
-  // Notices processes that have ended, starts those that are due, and looks at what workers hold.
+  // Detects exited processes, restarts those that are due, and checks the keys that workers hold.
   void Watch();
 
-  // A new life of the worker, at the address of the former one; no effect while it runs.
+  // Starts a new worker at the address of the previous one; no effect while one runs.
   void StartWorker(SoakNode* node);
-  // It ends without a word; `returns`: its next life has the same identity.
+  // Terminates the worker without draining. With `returns`, the next worker reuses its id.
   void EndWorker(SoakNode* node, bool returns = false);
-  // The worker's address takes connections while the worker lives and is not told to refuse them.
+  // Makes the worker's proxy listen if the worker runs and does not refuse connections; else stops
+  // it.
   void ApplyListener(SoakNode* node);
-  // While set, the node's worker leaves orders unanswered, or its heartbeats come late.
+  // While set, the node's worker leaves about half of its orders unanswered, or about half of its
+  // heartbeats are subject to faults such as delay, loss and duplication.
   void SetOrdersUnanswered(size_t node, bool value) { orders_unanswered_[node] = value; }
   void SetHeartbeatsDelayed(size_t node, bool value) { heartbeats_delayed_[node] = value; }
-  // While set, the node's worker says most of its answers a second time.
+  // While set, the node's worker sends most of its responses twice.
   void SetAnswersTwice(size_t node, bool value);
-  // Answers that workers said a second time.
+  // Number of responses that workers sent twice.
   size_t second_answers() const;
-  // Writes the settings file anew, each time with another bound.
+  // Rewrites the settings file, each time with a different retry budget.
   void ChangeSettings(const SoakNode& node);
-  // The way of one node to another, both of connections and datagrams.
+  // Sets the fault mode of the path from one node to another, for connections and datagrams.
   void SetPairMode(size_t from, size_t to, FaultProxy::Mode mode, Duration delay);
 
  private:
@@ -71,11 +73,12 @@
   void SendLater(const event::Endpoint& node, std::string request);
   std::string ThroughProxy(const std::string& key, const std::string& value) const;
   std::vector<pid_t> Processes() const;
-  // The node whose process opened a connection from `port` to a proxy.
+  // Index of the node whose process opened the connection from `port` to `proxy`, or
+  // FaultProxy::kUnknownSource.
   int SourceOf(const FaultProxy& proxy, uint16_t port);
   bool DatagramPasses(const std::string& sender, const SoakNode& to) const;
   void OnRequest(SoakNode* node, const http::ExchangePtr& exchange);
-  // The worker has begun a request that ends it.
+  // Schedules the termination of a worker that has begun a fatal request.
   void EndSoon(SoakNode* node, const std::string& target);
   void CheckKeys();
 
@@ -92,7 +95,7 @@
   SecondAnswers second_answers_;
   std::vector<bool> orders_unanswered_;
   std::vector<bool> heartbeats_delayed_;
-  // Heartbeats that were held back, and their calls.
+  // Timers of delayed heartbeats, and the calls that send them.
   std::vector<std::unique_ptr<event::Timer>> held_back_;
   std::vector<std::unique_ptr<http::SimpleCall>> late_calls_;
   std::vector<std::unique_ptr<event::Timer>> fatal_ends_;
--- a/tests/soak/soak_node.h
+++ b/tests/soak/soak_node.h
@@ -1,4 +1,5 @@
-// One machine of the soak: a sidecar process, the worker beside it, and the proxies on its ways.
+// One simulated machine of the soak test: a sidecar process, its worker, and the fault-injecting
+// proxies on its connections.
 #pragma once
 
 #include <memory>
@@ -15,9 +16,9 @@
 struct SoakNode {
   size_t index = 0;
   std::string name;
-  std::string ip;        // Of the sidecar.
-  std::string proxy_ip;  // By which the other nodes know it.
-  std::string service;   // Of the worker.
+  std::string ip;        // Address of the sidecar.
+  std::string proxy_ip;  // Address under which the other nodes reach it.
+  std::string service;   // Service that the worker runs.
   bool sharded = false;
   event::Endpoint outbound;
   event::Endpoint inbound;
@@ -25,11 +26,11 @@
   event::Endpoint control_plane;
   uint16_t worker_port = 0;
   int worker_life = 0;
-  std::string worker_id;        // Of the present or latest worker.
-  bool worker_returns = false;  // Its next life has the same identity.
+  std::string worker_id;        // Of the current or most recent worker.
+  bool worker_returns = false;  // The next worker reuses the same id.
   bool refuses_connections = false;
-  Instant worker_down_until{};                           // It is not started again before.
-  std::unique_ptr<platform_adapter::FakeWorker> worker;  // Empty while it is down.
+  Instant worker_down_until{};                           // Earliest time of the next restart.
+  std::unique_ptr<platform_adapter::FakeWorker> worker;  // Null while the worker is down.
   size_t store_entrance = 0;
   std::unique_ptr<FaultProxy> store_proxy;
   std::unique_ptr<FaultProxy> node_proxy;
