--- a/tests/soak/request_runner.cc
+++ b/tests/soak/request_runner.cc
@@ -15,7 +15,7 @@
 constexpr int kInternalError = 500;
 constexpr int kGatewayTimeout = 504;
 constexpr Duration kNoDeadline = std::chrono::seconds(30);
-// One of so many requests makes a call.
+// One in this many requests makes a nested call.
 constexpr uint64_t kCallEvery = 2;
 
 std::string HeaderOf(const http::Request& request, const char* name) {
@@ -23,8 +23,8 @@
   return value == nullptr ? std::string() : *value;
 }
 
-// Some tens of milliseconds to some hundred, and now and then more than a second. Shorter where
-// keys divide the work, so that keys can be moved.
+// Draws a processing time: up to some hundred milliseconds, occasionally more than a second.
+// Sharded services get shorter times, so that keys become idle and can be moved.
 Duration DrawWorkTime(Random& random, bool sharded) {
   if (random.Below(25) == 0) return random.Between(milliseconds(400), milliseconds(1300));
   return random.Between(milliseconds(3), sharded ? milliseconds(120) : milliseconds(450));
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-// A request that a worker is at work on.
+// A request that a worker is processing.
 struct RequestRunner::Run {
   Run(event::EventLoop& loop, const SoakNode& at, http::ExchangePtr open_exchange,
       std::function<void(Run*)> on_timer)
@@ -53,7 +53,7 @@
   std::optional<uint32_t> key;
   Instant deadline{};
   Instant planned_end{};
-  bool calls = false;  // Before it ends.
+  bool calls = false;  // Still has to make a nested call.
   std::string call_id;
   std::unique_ptr<CallerConnection> call;
   event::Timer timer;
@@ -114,7 +114,7 @@
   return std::make_unique<CallerConnection>(loop_, node.outbound);
 }
 
-// Most calls may be repeated; one in four may run once only.
+// Makes a nested call. One in four ("note") must not be repeated; the others may be retried.
 void RequestRunner::Call(Run* run) {
   const SoakNode& node = *run->node;
   const std::string route = random_.Below(4) == 0 ? "note" : "inner";
@@ -141,7 +141,7 @@
   head.headers.Add("Deadline-Ms", std::to_string(ToMilliseconds(left)));
   const std::string bytes = http::SerializeRequest(head, attempt.request.body);
   witness_.OnSent(std::move(attempt));
-  // A node that does not answer at all is given up at the deadline.
+  // If the node does not respond, the run ends at the deadline.
   run->timer.Start(left);
   run->call->Send(bytes, [this, run](CallerConnection::End end, http::Response&& response) {
     OnCalled(run, end, std::move(response));
@@ -176,7 +176,7 @@
   run->timer.Stop();
   run->exchange->set_on_client_gone(nullptr);
   if (!run->call_id.empty()) {
-    // It closes its connection: whoever works for it may stop.
+    // Closing the connection cancels the nested call.
     witness_.OnLeft(run->call_id);
     run->call_id.clear();
     run->call.reset();
--- a/tests/soak/request_runner.h
+++ b/tests/soak/request_runner.h
@@ -1,5 +1,5 @@
-// Runs requests at the workers: each takes a time, some make calls through their node, and those
-// that outlast their keys or their deadline fail.
+// Simulates request processing at the workers. Each request takes a random time, some make a nested
+// call through their node, and those that outlast their key grant or deadline fail.
 #pragma once
 
 #include <cstdint>
@@ -22,12 +22,12 @@
   RequestRunner(event::EventLoop& loop, Witness& witness, uint64_t seed);
   ~RequestRunner();
 
-  // `others`: workers that hold the request's key as well.
+  // `others`: other workers that also hold the request's key.
   void Begin(const SoakNode& node, const http::ExchangePtr& exchange,
              const std::vector<std::string>& others);
-  // The node's worker has ended, and all that it ran.
+  // The node's worker has terminated; aborts all its requests.
   void OnWorkerEnded(const SoakNode& node);
-  // Whether requests run on keys of a range at the node's worker.
+  // True if the node's worker is processing a request with a key in [first, last].
   bool Busy(const SoakNode& node, uint32_t first, uint32_t last) const;
 
  private:
@@ -44,7 +44,7 @@
   Witness& witness_;
   SeededRandom random_;
   std::vector<std::unique_ptr<Run>> runs_;
-  // Idle connections of each worker to its node.
+  // Idle connections from each worker to its node.
   std::map<const SoakNode*, std::vector<std::unique_ptr<CallerConnection>>> idle_;
   uint64_t calls_ = 0;
 };
--- a/tests/soak/witness.cc
+++ b/tests/soak/witness.cc
@@ -12,11 +12,11 @@
 
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
-// A request that the node has already sent when the time to drain ends is under way so long.
+// Maximum transit time of a request that a node sent just before the drain timeout.
 constexpr Duration kDrainSlack = std::chrono::milliseconds(200);
-// A stopped process is gone this long after its grace period.
+// A stopped process has exited at most this long after its grace period.
 constexpr Duration kAfterGrace = std::chrono::seconds(1);
-// A node gives a request up in whole milliseconds, a moment before its caller does.
+// Nodes round deadlines to whole milliseconds and so time out slightly earlier than the caller.
 constexpr Duration kTimeUpMargin = std::chrono::milliseconds(50);
 
 }  // namespace
@@ -57,7 +57,8 @@
   if (end != CallerConnection::End::kNotSent) Judge(*open, end, stamp != nullptr);
 }
 
-// The route "extra" is missing at times. Nobody misses what ends workers.
+// Skips the route "extra", which some configurations lack, and fatal requests, which are expected
+// to fail.
 void Witness::Measure(const OpenAttempt& open, int status) {
   if (open.attempt.nested || open.attempt.route == "extra") return;
   if (IsFatalRequest(open.attempt.request.target)) return;
@@ -88,8 +89,8 @@
   loss_.OnFinished(finished);
 }
 
-// By an unplanned fault at a node that had to do with it. Where a request went that no worker
-// began is not known: any node may have held it up.
+// True if an unplanned fault affected a node that took part in the attempt. If no worker began the
+// request, its path is unknown, so a fault at any node counts.
 bool Witness::Disturbed(const OpenAttempt& open) const {
   const Instant since = open.attempt.sent_at;
   if (!unplanned_.Undisturbed(open.attempt.node, since)) return true;
@@ -128,7 +129,8 @@
   const Attempt& attempt = open->attempt;
   const bool nodes_in_touch =
       contact_.Undisturbed(attempt.node, now) && contact_.Undisturbed(node, now);
-  // A node that has itself acknowledged the leaving is bound whatever becomes of the store.
+  // The node that acknowledged its own worker's leave request must honour it even without the
+  // store.
   const bool knows_of_leaving = attempt.node == node || contact_.StoreUndisturbed(now);
   drain_.OnBegan(worker, execution.id, now, nodes_in_touch && knows_of_leaving);
   abandonment_.OnBegan(execution.id, now, nodes_in_touch);
--- a/tests/soak/witness.h
+++ b/tests/soak/witness.h
@@ -1,4 +1,5 @@
-// Gathers what callers, workers and the store saw, and hands each judge what it judges.
+// Collects the events observed by clients, workers and the store, and passes them to the judges,
+// each of which checks one group of guarantees.
 #pragma once
 
 #include <cstdint>
@@ -23,17 +24,17 @@
 
 namespace runshelf::soak {
 
-// Bounds of the users' pages that the soak plays with.
+// Values of the documented settings and bounds that the soak test runs with.
 constexpr Duration kDrainTimeout = std::chrono::milliseconds(2000);
 constexpr Duration kGracePeriod = std::chrono::seconds(6);
 constexpr Duration kContactWindow = std::chrono::milliseconds(3000);
 constexpr Duration kThawSlack = std::chrono::milliseconds(300);
 
-// An attempt that a caller is about to send: a client, or a worker that makes a call.
+// A request that a caller (a client, or a worker that makes a nested call) is about to send.
 struct Attempt {
   SentRequest request;
-  size_t node = 0;  // That it is sent to.
-  int life = 0;     // Of that node's process.
+  size_t node = 0;  // Index of the node that it is sent to.
+  int life = 0;     // Start count of that node's process.
   std::string route;
   bool keyed = false;
   bool nested = false;
@@ -42,11 +43,12 @@
   Instant deadline{};
 };
 
-// What callers were told in all.
+// Totals of the requests that clients sent.
 struct AnswerCounts {
   uint64_t sent = 0;
   uint64_t served = 0;
-  // Work that a stopping node cut for callers of other nodes: no promise, but worth a look.
+  // Requests from callers of other nodes that a stopping node aborted. Not covered by a guarantee;
+  // reported for information.
   uint64_t cut_at_other_nodes = 0;
 };
 
@@ -54,32 +56,32 @@
  public:
   Witness(const Clock& clock, size_t nodes);
 
-  // Callers. Each attempt that was sent ends once.
+  // Events of callers. Each attempt that was sent ends exactly once.
   void OnSent(Attempt attempt);
   void OnEnded(const std::string& id, CallerConnection::End end, const http::Response& response);
   void OnLeft(const std::string& id);
   void OnNoAnswer(const std::string& id);
 
-  // Workers. Work on a request is named by its id and the worker.
+  // Events of workers. Work on a request is identified by the attempt id and the worker.
   void OnWorkBegan(size_t node, const std::string& worker, const Execution& execution);
-  // `would_last_until`: when it would have ended if it had not been broken off. `status`: of the
-  // worker's answer; zero without one.
+  // `would_last_until`: planned end of the work, had it not been aborted. `status`: HTTP status of
+  // the worker's response; 0 if there was none.
   void OnWorkEnded(const std::string& id, const std::string& worker, WorkEnd end, int status,
                    Instant would_last_until);
   void OnLeaveAcknowledged(const std::string& worker, Instant at) {
     drain_.OnLeaveAcknowledged(worker, at);
   }
 
-  // A worker ended under a request that ends workers.
+  // A fatal request terminated its worker.
   void OnFatalEnd(const std::string& target) { fatal_.OnEnded(target, clock_.Now()); }
   int fatal_ends() const { return fatal_.ends(); }
 
-  // Keys.
+  // Ownership of keys.
   void OnGrant(size_t node, const std::string& worker,
                const platform_adapter::FakeWorker::Grant& grant, bool late, bool way_is_slow);
   OwnershipJudge& ownership() { return *ownership_; }
 
-  // The operator and the platform.
+  // Actions of the operator and the platform.
   void OnConfiguration(AllowedServices allowed) {
     configuration_.OnConfiguration(clock_.Now(), std::move(allowed));
   }
@@ -92,32 +94,34 @@
     promises_.OnProcessEnded(node, exit);
   }
 
-  // Faults. All of them take nodes, or the store, out of touch; only unplanned ones excuse lost
-  // requests. What the store does to single nodes excuses requests with keys.
+  // Faults. While a fault is active, its nodes or the store count as out of contact. Only unplanned
+  // faults excuse lost requests. Store faults, also those of a single node, excuse requests with
+  // keys.
   void BeginFault(size_t node, bool planned);
   void EndFault(size_t node, bool planned);
   void BeginStoreFault(std::optional<size_t> node);
   void EndStoreFault(std::optional<size_t> node);
-  // A node was just started, or answered late.
+  // A node was just started, or responded late.
   void Disturb(size_t node, bool planned);
-  // Grants that arrive shortly after this are not held against the node.
+  // A fault of the node ended. Grants that arrive within kThawSlack are not reported as violations.
   void OnHealed(size_t node) { healed_[node] = clock_.Now(); }
-  // This process stood still: nothing that was seen late is held against anybody.
+  // This process was not scheduled for a while; events that it observed late are not reported as
+  // violations.
   void OnStall();
 
-  // The run is over.
+  // Ends the run.
   void Finish() { abandonment_.Finish(); }
-  // Call often: notes when each violation was found, from `started` on.
+  // Collects new violations with the time since `started`; must be called at short intervals.
   void Watch(Instant started);
-  // One line for each, in the order in which they were found.
+  // One line per violation, in the order of detection.
   const std::vector<std::string>& violations() const { return violations_; }
   const AnswerCounts& counts() const { return counts_; }
-  // Attempts of clients since a moment, and how many of them were served.
+  // Sets the window in which client attempts count towards measured_share() and unserved().
   void MeasureFrom(Instant from, Instant until) {
     measured_from_ = from;
     measured_until_ = until;
   }
-  // Of those that were not served: how many, by route and status (zero: no answer).
+  // Measured attempts that were not served, by route and status (0: no response).
   const std::map<std::pair<std::string, int>, int>& unserved() const { return unserved_; }
   double measured_share() const {
     return measured_ == 0 ? 0 : static_cast<double>(measured_served_) / measured_;
@@ -138,7 +142,8 @@
   std::vector<std::vector<std::string>> Findings() const;
   OpenAttempt* Find(const std::string& id);
   bool Disturbed(const OpenAttempt& open) const;
-  // By the end of its process, for a caller of another node that went on waiting.
+  // True if the work at `node` was aborted because the node's process stopped, while a caller of
+  // another node was still waiting.
   bool CutByStop(const OpenAttempt& open, size_t node) const;
   void Judge(const OpenAttempt& open, CallerConnection::End end, bool by_worker);
   void JudgeRoute(const OpenAttempt& open, std::optional<std::string> service);
@@ -156,9 +161,9 @@
   DrainJudge drain_;
   AbandonmentJudge abandonment_;
   FatalRequestJudge fatal_;
-  std::map<std::string, OpenAttempt> attempts_;  // By id; kept, since work may begin late.
+  std::map<std::string, OpenAttempt> attempts_;  // By id; never erased, since work may begin late.
   AnswerCounts counts_;
-  std::vector<size_t> noted_;  // Of each judge: how many of its findings.
+  std::vector<size_t> noted_;  // For each judge, the number of violations already collected.
   std::vector<std::string> violations_;
   Instant measured_from_{};
   Instant measured_until_{};
