--- a/tests/soak/caller_connection.cc
+++ b/tests/soak/caller_connection.cc
@@ -21,7 +21,7 @@
 }
 
 void CallerConnection::OnData(std::string_view data) {
-  // Bytes that no request asked for end the connection's use.
+  // Unsolicited data makes the connection unusable for further requests.
   if (!callback_) {
     keep_alive_ = false;
     return;
@@ -44,7 +44,7 @@
   if (!callback_) return;
   if (!connected_) return Finish(End::kNotSent);
   if (end == event::StreamEnd::kReset) return Finish(End::kReset);
-  // An answer without a length is whole when the connection ends in order.
+  // A response without a length is complete when the connection is closed in an orderly way.
   const bool whole = parser_.Finish() && complete_;
   Finish(whole ? End::kAnswered : End::kClosed);
 }
--- a/tests/soak/caller_connection.h
+++ b/tests/soak/caller_connection.h
@@ -1,4 +1,4 @@
-// A caller's HTTP/1.1 connection that tells exactly how each request ended.
+// A client's HTTP/1.1 connection that reports exactly how each request ended.
 #pragma once
 
 #include <functional>
@@ -11,15 +11,15 @@
 
 namespace runshelf::soak {
 
-// Carries one request at a time. A reset is told apart from an orderly close: a process that closes
-// a connection with unread bytes resets it, so that an orderly close shows that it had read all.
+// Carries one request at a time. Distinguishes a reset from an orderly close: a process that closes
+// a connection with unread data resets it, so an orderly close shows that all data had been read.
 class CallerConnection : public event::StreamObserver, public http::ParserObserver {
  public:
   enum class End {
     kAnswered,
-    kNotSent,  // No connection was made, or it had ended before the request was sent.
-    kClosed,   // Closed in order before the answer was complete.
-    kReset,    // Broken before the answer was complete, or the answer was no message.
+    kNotSent,  // The connection was not established, or ended before the request was sent.
+    kClosed,   // Closed in an orderly way before the response was complete.
+    kReset,    // Reset before the response was complete, or the response was malformed.
   };
   using Callback = std::function<void(End end, http::Response&& response)>;
 
@@ -27,9 +27,9 @@
 
   // The connection may be destroyed inside the callback.
   void Send(std::string_view request, Callback callback);
-  // Another request may be sent: the latest was answered and the connection is still open.
+  // True if another request can be sent: the last one was answered and the connection is open.
   bool usable() const;
-  // Requests sent so far.
+  // Number of requests sent on this connection.
   int requests() const { return requests_; }
 
   void OnConnected() override { connected_ = true; }
--- a/tests/soak/caller_connection_test.cc
+++ b/tests/soak/caller_connection_test.cc
@@ -11,7 +11,7 @@
 using namespace runshelf::soak;
 using event::RunUntil;
 
-// Each way in which a request can end is told apart.
+// Covers each CallerConnection::End.
 TEST_GROUP(CallerConnection) {
   event::EventLoop loop;
   std::vector<http::ExchangePtr> held;
@@ -71,7 +71,7 @@
 }
 
 TEST(CallerConnection, ARequestThatWasNotReadEndsWithAReset) {
-  // The listener of another loop, which never turns, accepts nothing.
+  // The listener belongs to a loop that does not run, so it accepts no connection.
   event::EventLoop idle;
   auto listener = std::make_unique<event::TcpListener>(idle, nullptr);
   CHECK_EQUAL(0, listener->Listen({"127.0.0.1", 0}));
--- a/tests/soak/clients.cc
+++ b/tests/soak/clients.cc
@@ -10,31 +10,31 @@
 
 using std::chrono::milliseconds;
 
-// Of all nodes together: about six requests are under way at each of six workers, so that a node
-// that stops is rarely without work.
+// Total for all nodes. Keeps about six requests in flight at each of six workers, so that a node
+// rarely stops while idle.
 constexpr size_t kClients = 96;
 constexpr size_t kLeastClientsPerNode = 3;
-// Two of three clients keep their connections.
+// One in this many clients opens a new connection for each request; the others reuse theirs.
 constexpr size_t kFreshEvery = 3;
-// Between the end of a request and the next one of the same client.
+// Pause between the end of a request and the next request of the same client.
 constexpr Duration kShortestPause = milliseconds(20);
 constexpr Duration kLongestPause = milliseconds(250);
-// After a connection could not be made.
+// Pause after a failed connection attempt.
 constexpr Duration kRetryPause = milliseconds(60);
 constexpr Duration kDeadline = milliseconds(2000);
 constexpr Duration kShortDeadline = milliseconds(500);
-// Every so many requests have the short one; of every so many the client leaves.
+// One in this many requests has the short deadline; one in this many is abandoned by its client.
 constexpr uint64_t kShortDeadlineEvery = 12;
 constexpr uint64_t kLeaveEvery = 15;
-// A node must have ended a request by then.
+// A request without a response after this time counts as unanswered.
 constexpr Duration kUnanswered = milliseconds(3500);
-// Half of the requests with keys go to so many neighbouring keys.
+// Half of the requests with keys go to this many adjacent keys.
 constexpr uint32_t kBusyKeys = 64;
 constexpr uint32_t kFirstBusyKey = 20000;
 
 }  // namespace
 
-// Sends one request after the other to one node.
+// Sends requests to one node, one at a time.
 class Clients::Client {
  public:
   Client(Clients* clients, const SoakNode& node, bool keeps)
--- a/tests/soak/clients.h
+++ b/tests/soak/clients.h
@@ -1,5 +1,6 @@
-// The clients of the nodes. Some keep their connections and use them, whatever becomes of the node,
-// until its process is gone; others open a new one for each request. Some leave early.
+// Clients that send requests to the nodes. Some use persistent connections until these are closed,
+// also while the node stops; others open a new connection for each request. Some requests are
+// abandoned early.
 #pragma once
 
 #include <cstdint>
@@ -34,7 +35,7 @@
   Witness& witness_;
   const std::vector<std::unique_ptr<SoakNode>>& nodes_;
   SeededRandom random_;
-  std::string prefix_;  // Of the ids of attempts.
+  std::string prefix_;  // Prefix of attempt ids.
   std::vector<std::unique_ptr<Client>> clients_;
   uint64_t attempts_ = 0;
 };
--- a/tests/soak/connection_source.cc
+++ b/tests/soak/connection_source.cc
@@ -22,14 +22,14 @@
 
 constexpr size_t kAnswerBytes = 8192;
 
-// Visits the handles of a loop, which are listed in the order in which they were made.
+// uv_walk callback; stores the last open TCP handle. A loop lists its handles in order of creation.
 void RememberLatest(uv_handle_t* handle, void* latest) {
   if (handle->type == UV_TCP && uv_is_closing(handle) == 0) {
     *static_cast<const uv_tcp_t**>(latest) = reinterpret_cast<const uv_tcp_t*>(handle);
   }
 }
 
-// Asks the kernel for one socket by its two ends; returns its inode.
+// Queries the kernel (sock_diag) for the socket with these two endpoints; returns its inode.
 std::optional<uint32_t> InodeOf(const sockaddr_in& local, const sockaddr_in& peer) {
   const int descriptor = socket(AF_NETLINK, SOCK_RAW | SOCK_CLOEXEC, NETLINK_SOCK_DIAG);
   if (descriptor < 0) return std::nullopt;
@@ -63,7 +63,7 @@
   return message.idiag_inode;
 }
 
-// The number in "socket:[number]"; nullopt for other files.
+// Parses the inode from a link target "socket:[inode]"; nullopt for other files.
 std::optional<uint32_t> SocketInode(std::string_view link) {
   constexpr std::string_view kPrefix = "socket:[";
   if (!link.starts_with(kPrefix)) return std::nullopt;
@@ -92,7 +92,7 @@
   sockaddr_in local{};
   sockaddr_in peer{};
   if (uv_ip4_addr(listener.ip.c_str(), listener.port, &local) != 0) return std::nullopt;
-  // Nobody binds the sockets by which the nodes connect.
+  // Nodes do not bind their outgoing sockets, so these have the default loopback address.
   if (uv_ip4_addr("127.0.0.1", port, &peer) != 0) return std::nullopt;
   const auto inode = InodeOf(peer, local);
   if (!inode.has_value()) return std::nullopt;
@@ -107,7 +107,7 @@
     std::error_code error;
     const std::filesystem::directory_iterator files("/proc/" + std::to_string(process) + "/fd",
                                                     error);
-    if (error) continue;  // It has ended.
+    if (error) continue;  // The process has exited.
     for (const auto& file : files) {
       std::error_code gone;
       const auto link = std::filesystem::read_symlink(file.path(), gone);
--- a/tests/soak/connection_source.h
+++ b/tests/soak/connection_source.h
@@ -1,5 +1,5 @@
-// Finds which process is at the other end of a connection that was just accepted. All processes of
-// the soak share one address of the loopback interface, so that the address does not tell it.
+// Finds the process at the other end of a connection that was just accepted. All processes of the
+// soak test connect from the same loopback address, so the address does not identify them.
 #pragma once
 
 #include <sys/types.h>
@@ -23,11 +23,12 @@
   ConnectionSource(event::EventLoop& loop, Processes processes)
       : loop_(loop), processes_(std::move(processes)) {}
 
-  // The port of the other end of the connection that the listener at `listener` accepted last; call
-  // it while it is being accepted. Zero when it is gone.
+  // Returns the remote port of the connection that the listener at `listener` accepted last; must
+  // be called from the accept callback. Returns 0 if the connection is already gone.
   uint16_t PortOfLatest(const event::Endpoint& listener) const;
-  // The process that opened the connection from `port` to `listener`; nullopt when it is none of
-  // them or has ended. Looks at the open files of all of them when the connection is not known yet.
+  // Returns the process that opened the connection from `port` to `listener`; nullopt if it is not
+  // one of the listed processes or has exited. Scans the open files of all listed processes when
+  // the socket is not known yet.
   std::optional<pid_t> ProcessOf(const event::Endpoint& listener, uint16_t port);
 
  private:
@@ -35,7 +36,7 @@
 
   event::EventLoop& loop_;
   Processes processes_;
-  std::map<uint32_t, pid_t> owners_;  // By the inode of the socket.
+  std::map<uint32_t, pid_t> owners_;  // Owning process by socket inode.
 };
 
 }  // namespace runshelf::soak
--- a/tests/soak/connection_source_test.cc
+++ b/tests/soak/connection_source_test.cc
@@ -14,7 +14,7 @@
 using namespace runshelf;
 using namespace runshelf::soak;
 
-// Two processes connect to one listener, one after the other.
+// Child processes connect to one listener, one after the other.
 TEST_GROUP(ConnectionSource) {
   event::EventLoop loop;
   std::vector<std::unique_ptr<event::TcpStream>> accepted;
--- a/tests/soak/contact_tracker.h
+++ b/tests/soak/contact_tracker.h
@@ -1,5 +1,5 @@
-// Knows which nodes were left alone, and since when. Promises that are bound by time hold only for
-// those. Free of input and output; times are given by the caller and belong to one clock.
+// Tracks which nodes are free of faults, and since when. Guarantees with a time limit are checked
+// only for those. Performs no I/O; callers pass all times, which must come from one clock.
 #pragma once
 
 #include <cstddef>
@@ -11,23 +11,23 @@
 
 class ContactTracker {
  public:
-  // `contact_window`: how long something must have been left alone.
+  // `contact_window`: time without faults after which a node or the store counts as undisturbed.
   ContactTracker(size_t nodes, Duration contact_window)
       : contact_window_(contact_window), nodes_(nodes) {}
 
-  // A fault hits a node, or the store, until it is ended as often as it was begun.
+  // A fault affects a node, or the store, until each Begin has been matched by an End.
   void Begin(size_t node) { ++nodes_[node].active; }
   void End(size_t node, Instant now);
   void BeginStore() { ++store_.active; }
   void EndStore(Instant now);
-  // Something hit a node, the store, or everything, at one moment.
+  // Records a momentary disturbance of one node, or of all nodes and the store.
   void Disturb(size_t node, Instant now) { nodes_[node].latest = now; }
   void DisturbAll(Instant now);
 
-  // The node has been left alone since a contact window before `since`.
+  // True if no fault is active and the last one ended more than a contact window before `since`.
   bool Undisturbed(size_t node, Instant since) const { return Calm(nodes_[node], since); }
   bool StoreUndisturbed(Instant since) const { return Calm(store_, since); }
-  // Since the latest fault that ended, or hit for a moment.
+  // Time of the node's last momentary disturbance or end of a fault.
   Instant latest(size_t node) const { return nodes_[node].latest; }
 
  private:
--- a/tests/soak/datagram_relay.h
+++ b/tests/soak/datagram_relay.h
@@ -1,4 +1,4 @@
-// Passes the datagrams of all other nodes on to one node, but for those whose way is cut.
+// Forwards the datagrams of all other nodes to one node, except from nodes whose path is blocked.
 #pragma once
 
 #include <functional>
@@ -11,14 +11,15 @@
 
 class DatagramRelay {
  public:
-  // Tells whether datagrams of the named node pass.
+  // Returns whether datagrams from the named node are forwarded.
   using Passes = std::function<bool(const std::string& sender)>;
 
-  // Listens at two ports of `proxy_ip`, which are those of `node_ip`.
+  // Listens at `first_port` and the next port of `proxy_ip`; forwards to the same ports of
+  // `node_ip`.
   DatagramRelay(event::EventLoop& loop, const std::string& proxy_ip, const std::string& node_ip,
                 uint16_t first_port, Passes passes);
 
-  // Returns zero, or a negative libuv error code.
+  // Returns 0, or a negative libuv error code.
   int Listen();
 
  private:
@@ -32,7 +33,7 @@
   event::UdpSocket second_;
 };
 
-// The node that a datagram names as its sender; empty when it names none.
+// Returns the node that a datagram names as its sender; empty if it names none.
 std::string SenderOf(std::string_view datagram);
 
 }  // namespace runshelf::soak
--- a/tests/soak/datagram_relay_test.cc
+++ b/tests/soak/datagram_relay_test.cc
@@ -12,7 +12,7 @@
 
 TEST_GROUP(DatagramRelay) {
   event::EventLoop loop;
-  // Below the ephemeral ports, and others for each process.
+  // Below the ephemeral port range; derived from the process id to avoid collisions.
   uint16_t port = static_cast<uint16_t>(20000 + 2 * (getpid() % 5000));
   std::string cut;
   int received = 0;
--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -1,5 +1,6 @@
-// Runs the soak once: real sidecar processes under faults drawn from a seed. Exit code 0: every
-// promise was kept and the fleet recovered; 1: not; 2: wrong arguments; 3: ended by a signal.
+// Runs the soak test once: real sidecar processes under faults derived from a seed. Exit codes:
+// 0: all guarantees held and the fleet recovered; 1: a guarantee was violated or the fleet did not
+// recover; 2: invalid arguments; 3: interrupted by a signal.
 
 #include <fmt/core.h>
 #include <tclap/CmdLine.h>
@@ -16,10 +17,12 @@
 constexpr int kExitInterrupted = 3;
 constexpr double kServedAtEnd = 0.95;
 constexpr int kMinSeconds = 30;
-// Each service has a worker; each node has an address of its own beside its proxies'.
+// The minimum gives each service a worker; the maximum is limited by the host numbers available for
+// the nodes and their proxies.
 constexpr size_t kMinNodes = 4;
 constexpr size_t kMaxNodes = 100;
-// Processes of a run; some seeds play as many as a machine of 12 processors bears beside others.
+// Sidecar processes per run. Some seeds use as many as a machine with 12 processors can run along
+// with other load.
 constexpr size_t kUsualNodes = 12;
 constexpr size_t kManyNodes = 32;
 constexpr uint64_t kManyNodesEvery = 8;
--- a/tests/soak/responsiveness.cc
+++ b/tests/soak/responsiveness.cc
@@ -7,8 +7,8 @@
 
 constexpr Duration kInterval = std::chrono::milliseconds(200);
 constexpr Duration kTimeout = std::chrono::milliseconds(1000);
-// A process that has the processor to itself answers within a few milliseconds; the tightest bound
-// of the users' pages is 200 ms.
+// An unloaded process responds within a few milliseconds; the tightest documented time limit is
+// 200 ms.
 constexpr Duration kSlow = std::chrono::milliseconds(100);
 
 }  // namespace
--- a/tests/soak/responsiveness.h
+++ b/tests/soak/responsiveness.h
@@ -1,5 +1,5 @@
-// Asks every node again and again for its readiness, to know which ones are short of processor
-// time: what is bound by time is not held against a machine that is too busy for it.
+// Polls the readiness endpoint of every node to detect nodes that lack processor time. Guarantees
+// with a time limit are not checked for nodes that are slow because the machine is overloaded.
 #pragma once
 
 #include <memory>
@@ -16,18 +16,18 @@
   Responsiveness(event::EventLoop& loop, const std::vector<std::unique_ptr<SoakNode>>& nodes);
   ~Responsiveness();
 
-  // Call often: asks the nodes that are due.
+  // Polls the nodes that are due; must be called at short intervals.
   void Watch();
-  // The node's latest answer took too long, or is overdue.
+  // True if the node's latest response took too long, or is overdue.
   bool Slow(size_t node) const;
-  // The longest that any node took to answer that was not paused meanwhile.
+  // Longest response time of any node, without probes during which the node was paused.
   Duration longest() const { return longest_; }
 
  private:
   struct Probe {
     Instant sent_at{};
     bool slow = false;
-    bool paused = false;  // The node was, at some time since.
+    bool paused = false;  // The node was paused at some time since `sent_at`.
     std::unique_ptr<http::SimpleCall> call;
   };
 
--- a/tests/soak/stand_ins_test.cc
+++ b/tests/soak/stand_ins_test.cc
@@ -1,4 +1,4 @@
-// The faults that only the soak asks of the stand-ins of store and workers.
+// Tests the faults of FakeStore and FakeWorker that only the soak test uses.
 #include <CppUTest/TestHarness.h>
 
 #include <nlohmann/json.hpp>
@@ -24,7 +24,7 @@
   FakeStore store{loop};
   FakeWorker worker{loop, "w1", "keyed"};
 
-  // The status of the answer; zero: none within a tenth of a second.
+  // Returns the status of the response, or 0 if there is none within 100 ms.
   int Post(const event::Endpoint& to, const std::string& target, const json& body) {
     bool over = false;
     int status = 0;
@@ -41,7 +41,7 @@
     RunUntil(loop, [&] { return over; });
     return status;
   }
-  // Writes "a" if it is not there.
+  // Creates the key "a" if it does not exist.
   int Create(size_t entrance) {
     return Post(store.entrance(entrance), "/runshelf/kv-txn",
                 {{"expected_revision", {{{"private_key", "a"}, {"revision", 0}}}},
@@ -114,8 +114,8 @@
   CHECK_EQUAL(200, Order("release", 0, 49, 2));
 }
 
-// Answered one after the other, each may bring the next order of its connection at once. The
-// stand-in once answered a release that was gone by then, and ended.
+// Answering a waiting release can deliver the next order of the same connection at once. FakeWorker
+// used to answer a release that had been destroyed by then, and crashed.
 TEST(StandIns, ReleasesThatWaitForWorkAreAnsweredInTurnOnEachConnection) {
   constexpr uint32_t kReleases = 20;
   struct Sender : public event::StreamObserver {
--- a/tests/soak/supervised_process.cc
+++ b/tests/soak/supervised_process.cc
@@ -7,7 +7,7 @@
 namespace runshelf::soak {
 namespace {
 
-// The platform's SIGKILL comes this much after the grace period at the latest.
+// The platform sends SIGKILL at most this long after the grace period.
 constexpr Duration kKillSlack = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -63,7 +63,7 @@
     running_ = false;
     start_at_ = std::max(start_at_, now + down_);
     down_ = Duration(0);
-    // A process that gets SIGTERM before it has set its handlers ends by the signal.
+    // A process that receives SIGTERM before it has installed its handlers is killed by the signal.
     const int exit = process_.last_exit();
     const bool stopped = terminated_at_.has_value() && (exit == 0 || exit == -SIGTERM);
     const bool asked = killed_ || stopped;
--- a/tests/soak/supervised_process.h
+++ b/tests/soak/supervised_process.h
@@ -1,5 +1,5 @@
-// A sidecar process as the platform keeps it: stopped by SIGTERM and, after the grace period,
-// SIGKILL; started again whenever it has ended.
+// A sidecar process under the platform's supervision: stopped by SIGTERM and, after the grace
+// period, SIGKILL; restarted whenever it has exited.
 #pragma once
 
 #include <optional>
@@ -18,21 +18,23 @@
         grace_period_(grace_period) {}
 
   bool Start();
-  // Each of the two starts it again `down` after it has ended, or after now if that is later.
+  // Both schedule a restart: Kill `down` after `now`, Terminate `down` after the exit. If both are
+  // called, the later time applies.
   void Kill(Instant now, Duration down);
-  // Returns false when it is stopping already or does not run.
+  // Returns false if the process is already stopping or does not run.
   bool Terminate(Instant now, Duration down);
   void Pause();
   void Resume();
   void HangUp();
 
   enum class Event { kNone, kStarted, kEnded, kEndedByItself };
-  // Call often: notices an end, kills what outlasts its grace period, starts again what is due.
+  // Detects an exit, kills a process that outlasts its grace period, and restarts one that is due;
+  // must be called at short intervals.
   Event Watch(Instant now);
 
   bool running() const { return running_; }
   bool paused() const { return paused_; }
-  // Counts the starts.
+  // Number of starts so far.
   int life() const { return life_; }
   bool stopping() const { return terminated_at_.has_value(); }
   pid_t pid() const { return process_.pid(); }
