--- a/tests/soak/caller_connection_test.cc
+++ b/tests/soak/caller_connection_test.cc
@@ -50,7 +50,7 @@
   }
 };
 
-TEST(CallerConnection, CarriesOneRequestAfterTheOther) {
+TEST(CallerConnection, SendsSequentialRequestsOnOneConnection) {
   for (int count = 1; count <= 3; ++count) {
     Send();
     Expect(CallerConnection::End::kAnswered);
--- a/tests/soak/connection_source_test.cc
+++ b/tests/soak/connection_source_test.cc
@@ -62,7 +62,7 @@
   }
 }
 
-TEST(ConnectionSource, AnotherProcessIsNotKnown) {
+TEST(ConnectionSource, AProcessThatIsNotListedIsNotFound) {
   ConnectFromChild();
   ConnectionSource other(loop, [] { return std::vector<pid_t>(); });
   CHECK_FALSE(other.ProcessOf(Endpoint(), ports[0]).has_value());
--- a/tests/soak/contact_tracker_test.cc
+++ b/tests/soak/contact_tracker_test.cc
@@ -37,7 +37,7 @@
   CHECK(tracker.StoreUndisturbed(At(104)));
 }
 
-TEST(ContactTracker, AMomentOfTroubleCountsForEverybody) {
+TEST(ContactTracker, AMomentaryDisturbanceAffectsAllNodesAndTheStore) {
   tracker.DisturbAll(At(100));
   CHECK_FALSE(tracker.Undisturbed(1, At(103)));
   CHECK_FALSE(tracker.StoreUndisturbed(At(103)));
--- a/tests/soak/datagram_relay_test.cc
+++ b/tests/soak/datagram_relay_test.cc
@@ -32,7 +32,7 @@
   }
 };
 
-TEST(DatagramRelay, PassesOnUnlessTheWayOfTheSenderIsCut) {
+TEST(DatagramRelay, ForwardsUnlessThePathOfTheSenderIsBlocked) {
   sidecar::StateBeacon beacon;
   beacon.node = "n1";
   Send(beacon.Serialize());
--- a/tests/soak/stand_ins_test.cc
+++ b/tests/soak/stand_ins_test.cc
@@ -55,7 +55,7 @@
   }
 };
 
-TEST(StandIns, TheStoreTurnsOneEntranceAway) {
+TEST(StandIns, TheStoreRejectsRequestsAtOneEntrance) {
   const size_t first = store.AddEntrance();
   const size_t second = store.AddEntrance();
   store.set_entrance_fault(first, FakeStore::Fault::kThrottle);
@@ -79,7 +79,7 @@
   CHECK_EQUAL(std::string("of the operator"), *store.Find("a"));
 }
 
-TEST(StandIns, LeasesWaitWhileTheStoreIsAway) {
+TEST(StandIns, LeasesDoNotExpireWhileTheStoreIsAway) {
   const size_t entrance = store.AddEntrance();
   CHECK_EQUAL(200, Post(store.entrance(entrance), "/runshelf/kv-lease", {{"ttl_ms", 100}}));
   store.SetLeasesWait(true);
