--- a/tests/soak/clients.cc
+++ b/tests/soak/clients.cc
@@ -13,9 +13,9 @@
 // Total for all nodes. Keeps about six requests in flight at each of six workers, so that a node
 // rarely stops while idle.
 constexpr size_t kClients = 96;
-constexpr size_t kLeastClientsPerNode = 3;
+constexpr size_t kMinClientsPerNode = 3;
 // One in this many clients opens a new connection for each request; the others reuse theirs.
-constexpr size_t kFreshEvery = 3;
+constexpr size_t kNonPersistentEvery = 3;
 // Pause between the end of a request and the next request of the same client.
 constexpr Duration kShortestPause = milliseconds(20);
 constexpr Duration kLongestPause = milliseconds(250);
@@ -37,10 +37,10 @@
 // Sends requests to one node, one at a time.
 class Clients::Client {
  public:
-  Client(Clients* clients, const SoakNode& node, bool keeps)
+  Client(Clients* clients, const SoakNode& node, bool persistent)
       : clients_(clients),
         node_(node),
-        keeps_(keeps),
+        persistent_(persistent),
         next_timer_(clients->loop_, [this] { Send(); }),
         end_timer_(clients->loop_, [this] { GiveUp(); }) {}
 
@@ -50,7 +50,7 @@
   void Pause() { next_timer_.Start(clients_->random_.Between(kShortestPause, kLongestPause)); }
 
   void Send() {
-    if (!keeps_ || connection_ == nullptr || !connection_->usable()) {
+    if (!persistent_ || connection_ == nullptr || !connection_->usable()) {
       connection_ = std::make_unique<CallerConnection>(clients_->loop_, node_.outbound);
     }
     http::RequestHead head;
@@ -85,7 +85,7 @@
 
   Clients* clients_;
   const SoakNode& node_;
-  bool keeps_;
+  bool persistent_;
   std::unique_ptr<CallerConnection> connection_;
   event::Timer next_timer_;
   event::Timer end_timer_;
@@ -100,10 +100,10 @@
       nodes_(nodes),
       random_(seed),
       prefix_(fmt::format("{}-", seed)) {
-  const size_t per_node = std::max(kLeastClientsPerNode, kClients / nodes_.size());
+  const size_t per_node = std::max(kMinClientsPerNode, kClients / nodes_.size());
   for (const auto& node : nodes_) {
     for (size_t count = 0; count < per_node; ++count) {
-      clients_.push_back(std::make_unique<Client>(this, *node, count % kFreshEvery != 0));
+      clients_.push_back(std::make_unique<Client>(this, *node, count % kNonPersistentEvery != 0));
     }
   }
 }
--- a/tests/soak/connection_source.cc
+++ b/tests/soak/connection_source.cc
@@ -23,7 +23,7 @@
 constexpr size_t kAnswerBytes = 8192;
 
 // uv_walk callback; stores the last open TCP handle. A loop lists its handles in order of creation.
-void RememberLatest(uv_handle_t* handle, void* latest) {
+void RecordLatestTcpHandle(uv_handle_t* handle, void* latest) {
   if (handle->type == UV_TCP && uv_is_closing(handle) == 0) {
     *static_cast<const uv_tcp_t**>(latest) = reinterpret_cast<const uv_tcp_t*>(handle);
   }
@@ -77,7 +77,7 @@
 
 uint16_t ConnectionSource::PortOfLatest(const event::Endpoint& listener) const {
   const uv_tcp_t* latest = nullptr;
-  uv_walk(loop_.raw(), &RememberLatest, static_cast<void*>(&latest));
+  uv_walk(loop_.raw(), &RecordLatestTcpHandle, static_cast<void*>(&latest));
   if (latest == nullptr) return 0;
   sockaddr_in local{};
   sockaddr_in peer{};
@@ -96,12 +96,12 @@
   if (uv_ip4_addr("127.0.0.1", port, &peer) != 0) return std::nullopt;
   const auto inode = InodeOf(peer, local);
   if (!inode.has_value()) return std::nullopt;
-  if (!owners_.contains(*inode)) Learn();
+  if (!owners_.contains(*inode)) ScanProcesses();
   const auto owner = owners_.find(*inode);
   return owner == owners_.end() ? std::nullopt : std::optional(owner->second);
 }
 
-void ConnectionSource::Learn() {
+void ConnectionSource::ScanProcesses() {
   owners_.clear();
   for (const pid_t process : processes_()) {
     std::error_code error;
--- a/tests/soak/connection_source.h
+++ b/tests/soak/connection_source.h
@@ -32,7 +32,7 @@
   std::optional<pid_t> ProcessOf(const event::Endpoint& listener, uint16_t port);
 
  private:
-  void Learn();
+  void ScanProcesses();
 
   event::EventLoop& loop_;
   Processes processes_;
--- a/tests/soak/contact_tracker.cc
+++ b/tests/soak/contact_tracker.cc
@@ -13,7 +13,7 @@
 }
 
 void ContactTracker::DisturbAll(Instant now) {
-  for (Trouble& node : nodes_) node.latest = now;
+  for (Disturbance& node : nodes_) node.latest = now;
   store_.latest = now;
 }
 
--- a/tests/soak/contact_tracker.h
+++ b/tests/soak/contact_tracker.h
@@ -25,24 +25,24 @@
   void DisturbAll(Instant now);
 
   // True if no fault is active and the last one ended more than a contact window before `since`.
-  bool Undisturbed(size_t node, Instant since) const { return Calm(nodes_[node], since); }
-  bool StoreUndisturbed(Instant since) const { return Calm(store_, since); }
+  bool Undisturbed(size_t node, Instant since) const { return FaultFree(nodes_[node], since); }
+  bool StoreUndisturbed(Instant since) const { return FaultFree(store_, since); }
   // Time of the node's last momentary disturbance or end of a fault.
   Instant latest(size_t node) const { return nodes_[node].latest; }
 
  private:
-  struct Trouble {
+  struct Disturbance {
     int active = 0;
     Instant latest{};
   };
 
-  bool Calm(const Trouble& trouble, Instant since) const {
-    return trouble.active == 0 && since - trouble.latest > contact_window_;
+  bool FaultFree(const Disturbance& disturbance, Instant since) const {
+    return disturbance.active == 0 && since - disturbance.latest > contact_window_;
   }
 
   Duration contact_window_;
-  std::vector<Trouble> nodes_;
-  Trouble store_;
+  std::vector<Disturbance> nodes_;
+  Disturbance store_;
 };
 
 }  // namespace runshelf::soak
--- a/tests/soak/datagram_relay.cc
+++ b/tests/soak/datagram_relay.cc
@@ -22,9 +22,9 @@
       node_ip_(node_ip),
       first_port_(first_port),
       passes_(std::move(passes)),
-      first_(loop, [this](std::string_view data) { PassOn(data, first_port_); }),
+      first_(loop, [this](std::string_view data) { Forward(data, first_port_); }),
       second_(loop, [this](std::string_view data) {
-        PassOn(data, static_cast<uint16_t>(first_port_ + 1));
+        Forward(data, static_cast<uint16_t>(first_port_ + 1));
       }) {}
 
 int DatagramRelay::Listen() {
@@ -33,7 +33,7 @@
   return second_.Bind({proxy_ip_, static_cast<uint16_t>(first_port_ + 1)});
 }
 
-void DatagramRelay::PassOn(std::string_view data, uint16_t port) {
+void DatagramRelay::Forward(std::string_view data, uint16_t port) {
   if (!passes_(SenderOf(data))) return;
   event::UdpSocket& socket = port == first_port_ ? first_ : second_;
   socket.Send({node_ip_, port}, data);
--- a/tests/soak/datagram_relay.h
+++ b/tests/soak/datagram_relay.h
@@ -23,7 +23,7 @@
   int Listen();
 
  private:
-  void PassOn(std::string_view data, uint16_t port);
+  void Forward(std::string_view data, uint16_t port);
 
   std::string proxy_ip_;
   std::string node_ip_;
--- a/tests/soak/responsiveness.cc
+++ b/tests/soak/responsiveness.cc
@@ -23,11 +23,11 @@
   for (size_t node = 0; node < nodes_.size(); ++node) {
     Probe& probe = probes_[node];
     probe.paused = probe.paused || nodes_[node]->process->paused();
-    if (probe.call == nullptr && loop_.Now() - probe.sent_at >= kInterval) Ask(node);
+    if (probe.call == nullptr && loop_.Now() - probe.sent_at >= kInterval) SendProbe(node);
   }
 }
 
-void Responsiveness::Ask(size_t node) {
+void Responsiveness::SendProbe(size_t node) {
   Probe& probe = probes_[node];
   probe.sent_at = loop_.Now();
   probe.paused = nodes_[node]->process->paused();
--- a/tests/soak/responsiveness.h
+++ b/tests/soak/responsiveness.h
@@ -31,7 +31,7 @@
     std::unique_ptr<http::SimpleCall> call;
   };
 
-  void Ask(size_t node);
+  void SendProbe(size_t node);
 
   event::EventLoop& loop_;
   const std::vector<std::unique_ptr<SoakNode>>& nodes_;
