--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -27,7 +27,7 @@
 constexpr size_t kManyNodes = 32;
 constexpr uint64_t kManyNodesEvery = 8;
 
-size_t NodesOf(uint64_t seed) { return seed % kManyNodesEvery == 0 ? kManyNodes : kUsualNodes; }
+size_t NodeCount(uint64_t seed) { return seed % kManyNodesEvery == 0 ? kManyNodes : kUsualNodes; }
 
 }  // namespace
 
@@ -55,7 +55,7 @@
                            command);
     command.parse(argc, argv);
     if (seconds.getValue() < kMinSeconds) return kExitBadArguments;
-    options.nodes = NodesOf(seed.getValue());
+    options.nodes = NodeCount(seed.getValue());
     if (nodes.isSet()) options.nodes = static_cast<size_t>(nodes.getValue());
     if (options.nodes < kMinNodes || options.nodes > kMaxNodes) return kExitBadArguments;
     options.fatal_requests = fatal.getValue();
--- a/tests/soak/request_runner.h
+++ b/tests/soak/request_runner.h
@@ -22,7 +22,8 @@
   RequestRunner(event::EventLoop& loop, Witness& witness, uint64_t seed);
   ~RequestRunner();
 
-  // `others`: other workers that also hold the request's key.
+  // Starts processing a request at the node's worker. `others`: other workers that also hold the
+  // request's key.
   void Begin(const SoakNode& node, const http::ExchangePtr& exchange,
              const std::vector<std::string>& others);
   // The node's worker has terminated; aborts all its requests.
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -16,7 +16,7 @@
 // No faults are injected during startup, until the fleet is up.
 constexpr Duration kStartTime = std::chrono::seconds(8);
 // No faults are injected at the end of the run, so that the fleet can recover.
-constexpr Duration kCalmEnd = std::chrono::seconds(18);
+constexpr Duration kFaultFreeEnd = std::chrono::seconds(18);
 // The final success rate is measured from kMeasuredFrom to kMeasuredUntil before the end of the
 // run. The window starts after the leases affected by the last fault have expired, and is long
 // compared with a planned move of busy keys (0.5 s).
@@ -26,11 +26,11 @@
 // other random choices of a seed.
 constexpr uint64_t kFatalSeedOffset = 3;
 // Workers receive key grants either in heartbeat responses (even seeds) or in calls (odd seeds).
-constexpr uint64_t kWaysOfGranting = 2;
+constexpr uint64_t kGrantMethods = 2;
 
 // A quarter of the workers run "plain", a quarter run "other", and half run the sharded service
 // "keyed".
-std::vector<std::string> ServicesOf(size_t nodes) {
+std::vector<std::string> MakeServices(size_t nodes) {
   std::vector<std::string> services;
   for (size_t index = 0; index < nodes; ++index) {
     constexpr const char* kMix[] = {"plain", "keyed", "other", "keyed"};
@@ -44,19 +44,20 @@
   input.seed = options.seed;
   input.services = services;
   input.first = kStartTime;
-  input.last = options.duration - kCalmEnd;
+  input.last = options.duration - kFaultFreeEnd;
   input.store_restores = options.store_restores;
   input.second_answers = options.second_answers;
   return input;
 }
 
-FleetOptions OptionsOfFleet(const SoakOptions& options, const std::vector<std::string>& services) {
+FleetOptions MakeFleetOptions(const SoakOptions& options,
+                              const std::vector<std::string>& services) {
   FleetOptions fleet;
   fleet.program = options.program;
   fleet.directory = options.directory;
   fleet.seed = options.seed;
   fleet.services = services;
-  fleet.keys_in_heartbeats = options.seed % kWaysOfGranting == 0;
+  fleet.keys_in_heartbeats = options.seed % kGrantMethods == 0;
   return fleet;
 }
 
@@ -64,10 +65,10 @@
 
 Soak::Soak(const SoakOptions& options)
     : options_(options),
-      services_(ServicesOf(options.nodes)),
+      services_(MakeServices(options.nodes)),
       plan_(MakeFaultPlan(PlanInput(options_, services_))),
       witness_(loop_, options_.nodes),
-      fleet_(loop_, witness_, OptionsOfFleet(options_, services_)),
+      fleet_(loop_, witness_, MakeFleetOptions(options_, services_)),
       driver_(loop_, fleet_, witness_, plan_, options_.seed),
       clients_(loop_, witness_, fleet_.nodes(), options_.seed),
       fatal_requests_(loop_, witness_, fleet_.nodes(), options_.seed + kFatalSeedOffset),
--- a/tests/soak/soak_fleet.cc
+++ b/tests/soak/soak_fleet.cc
@@ -37,10 +37,10 @@
 // Run time of a request that terminates its worker, and downtime of that worker afterwards.
 constexpr Duration kShortestFatalRun = milliseconds(2);
 constexpr Duration kLongestFatalRun = milliseconds(120);
-constexpr Duration kShortestDown = milliseconds(700);
-constexpr Duration kLongestDown = milliseconds(2500);
+constexpr Duration kShortestDowntime = milliseconds(700);
+constexpr Duration kLongestDowntime = milliseconds(2500);
 // One in this many worker instances leaves without announcing that it drains.
-constexpr int kSilentLeaverEvery = 3;
+constexpr int kUndrainedExitEvery = 3;
 
 // Derives the address from the process id, so that concurrent soak runs do not collide.
 std::string AddressOf(size_t host) {
@@ -64,7 +64,7 @@
       orders_unanswered_(options_.services.size()),
       heartbeats_delayed_(options_.services.size()) {
   store_.set_value_filter([this](const std::string& key, const std::string& value) {
-    return ThroughProxy(key, value);
+    return ReplaceAddressByProxy(key, value);
   });
   store_.set_latency(
       [this] { return random_.Between(kShortestStoreLatency, kLongestStoreLatency); });
@@ -150,8 +150,8 @@
     ApplyListener(node.get());
     const bool was_stopping = node->process->stopping();
     switch (node->process->Watch(now)) {
-      case SupervisedProcess::Event::kEndedByItself:
-        witness_.OnProcessEndedByItself(node->name, node->process->last_exit());
+      case SupervisedProcess::Event::kUnexpectedExit:
+        witness_.OnUnexpectedExit(node->name, node->process->last_exit());
         witness_.Disturb(node->index, /*planned=*/false);
         ChangeSettings(*node);
         break;
@@ -193,7 +193,7 @@
   if (!node->worker_returns)
     node->worker_id = fmt::format("w-{}-{}", node->name, node->worker_life);
   auto worker = std::make_unique<FakeWorker>(loop_, node->worker_id, node->service);
-  worker->set_born(NextBirth());
+  worker->set_born(NextWorkerStartTime());
   SetUpWorker(node, worker.get());
   // Fails while connections of the previous worker are still being closed; the caller retries.
   if (worker->Listen(node->worker_port) != 0) return;
@@ -205,11 +205,12 @@
 }
 
 // Milliseconds since the Unix epoch; strictly increasing, so that each worker instance has its own.
-int64_t SoakFleet::NextBirth() {
+int64_t SoakFleet::NextWorkerStartTime() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
-  last_birth_ =
-      std::max(last_birth_ + 1, std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
-  return last_birth_;
+  last_worker_start_time_ =
+      std::max(last_worker_start_time_ + 1,
+               std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
+  return last_worker_start_time_;
 }
 
 void SoakFleet::ApplyListener(SoakNode* node) {
@@ -226,12 +227,12 @@
 void SoakFleet::SetUpWorker(SoakNode* node, FakeWorker* worker) {
   worker->set_sharded(node->sharded);
   worker->set_slots(kSlots);
-  worker->set_leaves_without_draining(node->worker_life % kSilentLeaverEvery == 0);
+  worker->set_leaves_without_draining(node->worker_life % kUndrainedExitEvery == 0);
   worker->set_keys_in_heartbeats(options_.keys_in_heartbeats);
   worker->set_heartbeat_faults([this, node] { return NextHeartbeatFault(node->index); });
   worker->set_order_faults([this, node] { return NextOrderFault(node->index); });
   worker->set_on_held_back([this](const event::Endpoint& to, std::string request) {
-    SendLater(to, std::move(request));
+    SendDelayed(to, std::move(request));
   });
   worker->set_health_delay([this] { return random_.Between(Duration(0), kLongestHealthDelay); });
   worker->set_busy_keys(
@@ -268,19 +269,19 @@
   }
   runner_.Begin(*node, exchange, others);
   if (IsFatalRequest(exchange->request().head.target)) {
-    EndSoon(node, exchange->request().head.target);
+    ScheduleWorkerEnd(node, exchange->request().head.target);
   }
 }
 
-void SoakFleet::EndSoon(SoakNode* node, const std::string& target) {
+void SoakFleet::ScheduleWorkerEnd(SoakNode* node, const std::string& target) {
   std::erase_if(fatal_ends_, [](const auto& timer) { return !timer->active(); });
-  fatal_ends_.push_back(
-      std::make_unique<event::Timer>(loop_, [this, node, target, life = node->worker->life()] {
-        if (node->worker == nullptr || node->worker->life() != life) return;
-        node->worker_down_until = loop_.Now() + random_.Between(kShortestDown, kLongestDown);
-        EndWorker(node, /*returns=*/random_.Below(2) == 0);
-        witness_.OnFatalEnd(target);
-      }));
+  fatal_ends_.push_back(std::make_unique<event::Timer>(loop_, [this, node, target,
+                                                               life = node->worker->life()] {
+    if (node->worker == nullptr || node->worker->life() != life) return;
+    node->worker_down_until = loop_.Now() + random_.Between(kShortestDowntime, kLongestDowntime);
+    EndWorker(node, /*returns=*/random_.Below(2) == 0);
+    witness_.OnFatalEnd(target);
+  }));
   fatal_ends_.back()->Start(random_.Between(kShortestFatalRun, kLongestFatalRun));
 }
 
@@ -313,7 +314,7 @@
   return count;
 }
 
-void SoakFleet::SendLater(const event::Endpoint& node, std::string request) {
+void SoakFleet::SendDelayed(const event::Endpoint& node, std::string request) {
   std::erase_if(held_back_, [](const auto& timer) { return !timer->active(); });
   held_back_.push_back(std::make_unique<event::Timer>(loop_, [this, node,
                                                               request = std::move(request)] {
@@ -326,7 +327,8 @@
 
 // Nodes discover each other through the store. Replaces the address in a node's record by that of
 // the proxy in front of the node.
-std::string SoakFleet::ThroughProxy(const std::string& key, const std::string& value) const {
+std::string SoakFleet::ReplaceAddressByProxy(const std::string& key,
+                                             const std::string& value) const {
   for (const auto& node : nodes_) {
     if (key != "runshelf/nodes/" + node->name) continue;
     const std::string address = node->inbound.ToString();
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -65,13 +65,13 @@
   using FakeWorker = platform_adapter::FakeWorker;
 
   void MakeNode(size_t index);
-  int64_t NextBirth();
+  int64_t NextWorkerStartTime();
   void WriteSettings(const SoakNode& node, int retry_budget_extra) const;
   void SetUpWorker(SoakNode* node, FakeWorker* worker);
   FakeWorker::HeartbeatFault NextHeartbeatFault(size_t node);
   FakeWorker::OrderFault NextOrderFault(size_t node);
-  void SendLater(const event::Endpoint& node, std::string request);
-  std::string ThroughProxy(const std::string& key, const std::string& value) const;
+  void SendDelayed(const event::Endpoint& node, std::string request);
+  std::string ReplaceAddressByProxy(const std::string& key, const std::string& value) const;
   std::vector<pid_t> Processes() const;
   // Index of the node whose process opened the connection from `port` to `proxy`, or
   // FaultProxy::kUnknownSource.
@@ -79,7 +79,7 @@
   bool DatagramPasses(const std::string& sender, const SoakNode& to) const;
   void OnRequest(SoakNode* node, const http::ExchangePtr& exchange);
   // Schedules the termination of a worker that has begun a fatal request.
-  void EndSoon(SoakNode* node, const std::string& target);
+  void ScheduleWorkerEnd(SoakNode* node, const std::string& target);
   void CheckKeys();
 
   event::EventLoop& loop_;
@@ -100,7 +100,7 @@
   std::vector<std::unique_ptr<http::SimpleCall>> late_calls_;
   std::vector<std::unique_ptr<event::Timer>> fatal_ends_;
   int settings_written_ = 0;
-  int64_t last_birth_ = 0;
+  int64_t last_worker_start_time_ = 0;
 };
 
 }  // namespace runshelf::soak
--- a/tests/soak/supervised_process.cc
+++ b/tests/soak/supervised_process.cc
@@ -67,7 +67,7 @@
     const int exit = process_.last_exit();
     const bool stopped = terminated_at_.has_value() && (exit == 0 || exit == -SIGTERM);
     const bool asked = killed_ || stopped;
-    return asked ? Event::kEnded : Event::kEndedByItself;
+    return asked ? Event::kEnded : Event::kUnexpectedExit;
   }
   if (now < start_at_) return Event::kNone;
   return Start() ? Event::kStarted : Event::kNone;
--- a/tests/soak/supervised_process.h
+++ b/tests/soak/supervised_process.h
@@ -25,9 +25,11 @@
   bool Terminate(Instant now, Duration down);
   void Pause();
   void Resume();
+  // Sends SIGHUP.
   void HangUp();
 
-  enum class Event { kNone, kStarted, kEnded, kEndedByItself };
+  // kEnded: exited after SIGKILL, or cleanly after Terminate. kUnexpectedExit: any other exit.
+  enum class Event { kNone, kStarted, kEnded, kUnexpectedExit };
   // Detects an exit, kills a process that outlasts its grace period, and restarts one that is due;
   // must be called at short intervals.
   Event Watch(Instant now);
--- a/tests/soak/witness.cc
+++ b/tests/soak/witness.cc
@@ -15,9 +15,9 @@
 // Maximum transit time of a request that a node sent just before the drain timeout.
 constexpr Duration kDrainSlack = std::chrono::milliseconds(200);
 // A stopped process has exited at most this long after its grace period.
-constexpr Duration kAfterGrace = std::chrono::seconds(1);
+constexpr Duration kExitSlack = std::chrono::seconds(1);
 // Nodes round deadlines to whole milliseconds and so time out slightly earlier than the caller.
-constexpr Duration kTimeUpMargin = std::chrono::milliseconds(50);
+constexpr Duration kDeadlineMargin = std::chrono::milliseconds(50);
 
 }  // namespace
 
@@ -171,28 +171,28 @@
   const bool in_touch =
       contact_.Undisturbed(open->attempt.node, now) && contact_.Undisturbed(found->node, now);
   abandonment_.OnWorkEnded(id, now, std::max(now, would_last_until), in_touch);
-  if (end == WorkEnd::kCancelled && CutByStop(*open, found->node)) ++counts_.cut_at_other_nodes;
+  if (end == WorkEnd::kCancelled && AbortedByStop(*open, found->node)) ++counts_.cut_at_other_nodes;
 }
 
-bool Witness::CutByStop(const OpenAttempt& open, size_t node) const {
+bool Witness::AbortedByStop(const OpenAttempt& open, size_t node) const {
   const Attempt& attempt = open.attempt;
   if (open.ended || node == attempt.node || stop_asked_[node] == Instant{}) return false;
   const Instant now = clock_.Now();
   const Instant time_up = std::min(attempt.deadline, attempt.sent_at + kRouteTimeout);
-  return now - stop_asked_[node] <= kGracePeriod + kAfterGrace && now + kTimeUpMargin < time_up &&
+  return now - stop_asked_[node] <= kGracePeriod + kExitSlack && now + kDeadlineMargin < time_up &&
          unplanned_.Undisturbed(node, now);
 }
 
 void Witness::OnGrant(size_t node, const std::string& worker,
                       const platform_adapter::FakeWorker::Grant& grant, bool late,
-                      bool way_is_slow) {
+                      bool path_is_slow) {
   const Instant now = clock_.Now();
   OrderArrival arrival = OrderArrival::kTimely;
   if (late) {
     arrival = OrderArrival::kTakenLate;
-  } else if (now - healed_[node] <= kThawSlack) {
+  } else if (now - healed_[node] <= kRecoverySlack) {
     arrival = OrderArrival::kAfterThaw;
-  } else if (way_is_slow) {
+  } else if (path_is_slow) {
     arrival = OrderArrival::kHeldUp;
   }
   ownership_->OnGrant(now, worker, {{grant.first, grant.last}, grant.fence, grant.until}, arrival);
@@ -249,11 +249,12 @@
 
 void Witness::Watch(Instant started) {
   const auto findings = Findings();
-  noted_.resize(findings.size());
+  collected_counts_.resize(findings.size());
   const double seconds = std::chrono::duration<double>(clock_.Now() - started).count();
   for (size_t judge = 0; judge < findings.size(); ++judge) {
-    for (; noted_[judge] < findings[judge].size(); ++noted_[judge]) {
-      violations_.push_back(fmt::format("{:7.3f} s {}", seconds, findings[judge][noted_[judge]]));
+    for (; collected_counts_[judge] < findings[judge].size(); ++collected_counts_[judge]) {
+      violations_.push_back(
+          fmt::format("{:7.3f} s {}", seconds, findings[judge][collected_counts_[judge]]));
     }
   }
 }
--- a/tests/soak/witness.h
+++ b/tests/soak/witness.h
@@ -28,7 +28,7 @@
 constexpr Duration kDrainTimeout = std::chrono::milliseconds(2000);
 constexpr Duration kGracePeriod = std::chrono::seconds(6);
 constexpr Duration kContactWindow = std::chrono::milliseconds(3000);
-constexpr Duration kThawSlack = std::chrono::milliseconds(300);
+constexpr Duration kRecoverySlack = std::chrono::milliseconds(300);
 
 // A request that a caller (a client, or a worker that makes a nested call) is about to send.
 struct Attempt {
@@ -59,7 +59,9 @@
   // Events of callers. Each attempt that was sent ends exactly once.
   void OnSent(Attempt attempt);
   void OnEnded(const std::string& id, CallerConnection::End end, const http::Response& response);
+  // The caller abandoned the attempt before the response.
   void OnLeft(const std::string& id);
+  // The caller gave up waiting for a response.
   void OnNoAnswer(const std::string& id);
 
   // Events of workers. Work on a request is identified by the attempt id and the worker.
@@ -78,7 +80,7 @@
 
   // Ownership of keys.
   void OnGrant(size_t node, const std::string& worker,
-               const platform_adapter::FakeWorker::Grant& grant, bool late, bool way_is_slow);
+               const platform_adapter::FakeWorker::Grant& grant, bool late, bool path_is_slow);
   OwnershipJudge& ownership() { return *ownership_; }
 
   // Actions of the operator and the platform.
@@ -90,9 +92,7 @@
     loss_.OnStopAsked(node, clock_.Now());
   }
   void OnReloadAsked(size_t node) { loss_.OnReloadAsked(node, clock_.Now()); }
-  void OnProcessEndedByItself(const std::string& node, int exit) {
-    promises_.OnProcessEnded(node, exit);
-  }
+  void OnUnexpectedExit(const std::string& node, int exit) { promises_.OnProcessEnded(node, exit); }
 
   // Faults. While a fault is active, its nodes or the store count as out of contact. Only unplanned
   // faults excuse lost requests. Store faults, also those of a single node, excuse requests with
@@ -103,7 +103,8 @@
   void EndStoreFault(std::optional<size_t> node);
   // A node was just started, or responded late.
   void Disturb(size_t node, bool planned);
-  // A fault of the node ended. Grants that arrive within kThawSlack are not reported as violations.
+  // A fault of the node ended. Grants that arrive within kRecoverySlack are not reported as
+  // violations.
   void OnHealed(size_t node) { healed_[node] = clock_.Now(); }
   // This process was not scheduled for a while; events that it observed late are not reported as
   // violations.
@@ -123,6 +124,7 @@
   }
   // Measured attempts that were not served, by route and status (0: no response).
   const std::map<std::pair<std::string, int>, int>& unserved() const { return unserved_; }
+  // Fraction of measured attempts that were served, 0 to 1; 0 if none was measured.
   double measured_share() const {
     return measured_ == 0 ? 0 : static_cast<double>(measured_served_) / measured_;
   }
@@ -144,7 +146,7 @@
   bool Disturbed(const OpenAttempt& open) const;
   // True if the work at `node` was aborted because the node's process stopped, while a caller of
   // another node was still waiting.
-  bool CutByStop(const OpenAttempt& open, size_t node) const;
+  bool AbortedByStop(const OpenAttempt& open, size_t node) const;
   void Judge(const OpenAttempt& open, CallerConnection::End end, bool by_worker);
   void JudgeRoute(const OpenAttempt& open, std::optional<std::string> service);
   void Measure(const OpenAttempt& open, int status);
@@ -163,7 +165,8 @@
   FatalRequestJudge fatal_;
   std::map<std::string, OpenAttempt> attempts_;  // By id; never erased, since work may begin late.
   AnswerCounts counts_;
-  std::vector<size_t> noted_;  // For each judge, the number of violations already collected.
+  // For each judge, the number of its violations that were already collected.
+  std::vector<size_t> collected_counts_;
   std::vector<std::string> violations_;
   Instant measured_from_{};
   Instant measured_until_{};
