--- a/tests/soak/responsiveness.cc
+++ b/tests/soak/responsiveness.cc
@@ -7,8 +7,8 @@
 
 constexpr Duration kInterval = std::chrono::milliseconds(200);
 constexpr Duration kTimeout = std::chrono::milliseconds(1000);
-// A process that has the processor to itself answers within a few milliseconds; the tightest bound
-// of the users' pages is 200 ms.
+// An unloaded process responds within a few milliseconds; the tightest documented time limit is
+// 200 ms.
 constexpr Duration kSlow = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -23,11 +23,11 @@
   for (size_t node = 0; node < nodes_.size(); ++node) {
     Probe& probe = probes_[node];
     probe.paused = probe.paused || nodes_[node]->process->paused();
-    if (probe.call == nullptr && loop_.Now() - probe.sent_at >= kInterval) Ask(node);
+    if (probe.call == nullptr && loop_.Now() - probe.sent_at >= kInterval) SendProbe(node);
   }
 }
 
-void Responsiveness::Ask(size_t node) {
+void Responsiveness::SendProbe(size_t node) {
   Probe& probe = probes_[node];
   probe.sent_at = loop_.Now();
   probe.paused = nodes_[node]->process->paused();
--- a/tests/soak/soak_fleet.cc
+++ b/tests/soak/soak_fleet.cc
@@ -14,35 +14,35 @@
 
 using std::chrono::milliseconds;
 
-// Ports for datagrams among the nodes: below the ephemeral ones, the same on all addresses.
+// First port for datagrams between nodes: below the ephemeral range, the same on all addresses.
 constexpr uint16_t kPeerPort = 21000;
-// Host numbers of the nodes and, after them, of the proxies before them.
+// First host number (last octet) of the nodes and of the proxies in front of them.
 constexpr size_t kFirstHost = 10;
 constexpr size_t kFirstProxyHost = 130;
-// The store takes 4 ms and the way to it some more; health checks wait for a slot. In the incident
-// of the node that granted what it gave up, the two took about 13 ms.
+// The store takes 4 ms plus the network latency, and health checks wait for a slot. In the incident
+// in which a node granted keys that it had given up, the two delays came to about 13 ms.
 constexpr Duration kShortestStoreLatency = milliseconds(4);
 constexpr Duration kLongestStoreLatency = milliseconds(20);
 constexpr Duration kLongestHealthDelay = milliseconds(30);
-// Heartbeat intervals of the platform's deployments are about a second.
+// Production deployments use heartbeat intervals of about one second.
 constexpr Duration kShortestHeartbeat = milliseconds(400);
 constexpr Duration kLongestHeartbeat = milliseconds(1300);
-// How late transactions, orders and heartbeats come that were left unanswered.
+// Delay of transactions, orders and heartbeats that were left unanswered and take effect later.
 constexpr Duration kShortestLateness = milliseconds(300);
 constexpr Duration kLongestLateness = milliseconds(4500);
 constexpr Duration kLateCallTimeout = std::chrono::seconds(1);
 constexpr int kRetryBudgetExtra = 20;
-// More than the clients keep busy when every route leads to one of the two services.
+// Exceeds the number of requests that all clients keep in flight at one of the two services.
 constexpr int kSlots = 28;
-// How long a request that ends its worker runs, and its worker is down.
+// Run time of a request that terminates its worker, and downtime of that worker afterwards.
 constexpr Duration kShortestFatalRun = milliseconds(2);
 constexpr Duration kLongestFatalRun = milliseconds(120);
-constexpr Duration kShortestDown = milliseconds(700);
-constexpr Duration kLongestDown = milliseconds(2500);
-// Of so many lives of a worker one leaves without saying that it drains.
-constexpr int kSilentLeaverEvery = 3;
+constexpr Duration kShortestDowntime = milliseconds(700);
+constexpr Duration kLongestDowntime = milliseconds(2500);
+// One in this many worker instances leaves without announcing that it drains.
+constexpr int kUndrainedExitEvery = 3;
 
-// Each process has other addresses, so that soaks do not meet.
+// Derives the address from the process id, so that concurrent soak runs do not collide.
 std::string AddressOf(size_t host) {
   const auto process = static_cast<unsigned>(getpid());
   return fmt::format("127.{}.{}.{}", 1 + process / 256 % 254, process % 256, host);
@@ -64,7 +64,7 @@
       orders_unanswered_(options_.services.size()),
       heartbeats_delayed_(options_.services.size()) {
   store_.set_value_filter([this](const std::string& key, const std::string& value) {
-    return ThroughProxy(key, value);
+    return ReplaceAddressByProxy(key, value);
   });
   store_.set_latency(
       [this] { return random_.Between(kShortestStoreLatency, kLongestStoreLatency); });
@@ -150,8 +150,8 @@
     ApplyListener(node.get());
     const bool was_stopping = node->process->stopping();
     switch (node->process->Watch(now)) {
-      case SupervisedProcess::Event::kEndedByItself:
-        witness_.OnProcessEndedByItself(node->name, node->process->last_exit());
+      case SupervisedProcess::Event::kUnexpectedExit:
+        witness_.OnUnexpectedExit(node->name, node->process->last_exit());
         witness_.Disturb(node->index, /*planned=*/false);
         ChangeSettings(*node);
         break;
@@ -193,9 +193,9 @@
   if (!node->worker_returns)
     node->worker_id = fmt::format("w-{}-{}", node->name, node->worker_life);
   auto worker = std::make_unique<FakeWorker>(loop_, node->worker_id, node->service);
-  worker->set_born(NextBirth());
+  worker->set_born(NextWorkerStartTime());
   SetUpWorker(node, worker.get());
-  // Fails while connections of the former life are still being closed; the caller tries again.
+  // Fails while connections of the previous worker are still being closed; the caller retries.
   if (worker->Listen(node->worker_port) != 0) return;
   node->worker_port = worker->endpoint().port;
   worker->StartHeartbeats(node->control_plane, heartbeat_interval_);
@@ -204,12 +204,13 @@
   ApplyListener(node);
 }
 
-// Milliseconds since 1970; rises, so that no two lives have the same.
-int64_t SoakFleet::NextBirth() {
+// Milliseconds since the Unix epoch; strictly increasing, so that each worker instance has its own.
+int64_t SoakFleet::NextWorkerStartTime() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
-  last_birth_ =
-      std::max(last_birth_ + 1, std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
-  return last_birth_;
+  last_worker_start_time_ =
+      std::max(last_worker_start_time_ + 1,
+               std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
+  return last_worker_start_time_;
 }
 
 void SoakFleet::ApplyListener(SoakNode* node) {
@@ -218,7 +219,7 @@
   if (node->worker == nullptr || node->refuses_connections) {
     node->worker_proxy->StopListening();
   } else {
-    // Retried by the next look when the port is not free yet.
+    // If the port is still in use, the next Watch() retries.
     node->worker_proxy->ListenAgain();
   }
 }
@@ -226,12 +227,12 @@
 void SoakFleet::SetUpWorker(SoakNode* node, FakeWorker* worker) {
   worker->set_sharded(node->sharded);
   worker->set_slots(kSlots);
-  worker->set_leaves_without_draining(node->worker_life % kSilentLeaverEvery == 0);
+  worker->set_leaves_without_draining(node->worker_life % kUndrainedExitEvery == 0);
   worker->set_keys_in_heartbeats(options_.keys_in_heartbeats);
   worker->set_heartbeat_faults([this, node] { return NextHeartbeatFault(node->index); });
   worker->set_order_faults([this, node] { return NextOrderFault(node->index); });
   worker->set_on_held_back([this](const event::Endpoint& to, std::string request) {
-    SendLater(to, std::move(request));
+    SendDelayed(to, std::move(request));
   });
   worker->set_health_delay([this] { return random_.Between(Duration(0), kLongestHealthDelay); });
   worker->set_busy_keys(
@@ -268,19 +269,19 @@
   }
   runner_.Begin(*node, exchange, others);
   if (IsFatalRequest(exchange->request().head.target)) {
-    EndSoon(node, exchange->request().head.target);
+    ScheduleWorkerEnd(node, exchange->request().head.target);
   }
 }
 
-void SoakFleet::EndSoon(SoakNode* node, const std::string& target) {
+void SoakFleet::ScheduleWorkerEnd(SoakNode* node, const std::string& target) {
   std::erase_if(fatal_ends_, [](const auto& timer) { return !timer->active(); });
-  fatal_ends_.push_back(
-      std::make_unique<event::Timer>(loop_, [this, node, target, life = node->worker->life()] {
-        if (node->worker == nullptr || node->worker->life() != life) return;
-        node->worker_down_until = loop_.Now() + random_.Between(kShortestDown, kLongestDown);
-        EndWorker(node, /*returns=*/random_.Below(2) == 0);
-        witness_.OnFatalEnd(target);
-      }));
+  fatal_ends_.push_back(std::make_unique<event::Timer>(loop_, [this, node, target,
+                                                               life = node->worker->life()] {
+    if (node->worker == nullptr || node->worker->life() != life) return;
+    node->worker_down_until = loop_.Now() + random_.Between(kShortestDowntime, kLongestDowntime);
+    EndWorker(node, /*returns=*/random_.Below(2) == 0);
+    witness_.OnFatalEnd(target);
+  }));
   fatal_ends_.back()->Start(random_.Between(kShortestFatalRun, kLongestFatalRun));
 }
 
@@ -292,7 +293,7 @@
   return kFaults[random_.Below(std::size(kFaults))];
 }
 
-// Half of the orders are left unanswered; most of these are carried out, at once or late.
+// Leaves half of the orders unanswered. These are still carried out, two thirds of them late.
 SoakFleet::FakeWorker::OrderFault SoakFleet::NextOrderFault(size_t node) {
   FakeWorker::OrderFault fault;
   if (!orders_unanswered_[node] || random_.Below(2) == 0) return fault;
@@ -313,7 +314,7 @@
   return count;
 }
 
-void SoakFleet::SendLater(const event::Endpoint& node, std::string request) {
+void SoakFleet::SendDelayed(const event::Endpoint& node, std::string request) {
   std::erase_if(held_back_, [](const auto& timer) { return !timer->active(); });
   held_back_.push_back(std::make_unique<event::Timer>(loop_, [this, node,
                                                               request = std::move(request)] {
@@ -324,8 +325,10 @@
   held_back_.back()->Start(random_.Between(kShortestLateness, kLongestLateness));
 }
 
-// Nodes find each other through the store: what they read leads to the proxy before each node.
-std::string SoakFleet::ThroughProxy(const std::string& key, const std::string& value) const {
+// Nodes discover each other through the store. Replaces the address in a node's record by that of
+// the proxy in front of the node.
+std::string SoakFleet::ReplaceAddressByProxy(const std::string& key,
+                                             const std::string& value) const {
   for (const auto& node : nodes_) {
     if (key != "runshelf/nodes/" + node->name) continue;
     const std::string address = node->inbound.ToString();
