--- a/source/sidecar/sidecar.cc
+++ b/source/sidecar/sidecar.cc
@@ -119,7 +119,8 @@
   gate_.set_worker_observer(&monitor_);
   gate_.set_quarantine(&quarantine_);
   memory_.set_on_changed([this] { OnMemoryChanged(); });
-  quarantine_.set_end_broadcaster([this](const std::string& message) { BroadcastWorkerEnd(message); });
+  quarantine_.set_end_broadcaster(
+      [this](const std::string& message) { BroadcastWorkerEnd(message); });
   quarantine_.set_on_written([this](const store::Item& item) { OnQuarantineWritten(item); });
   gate_.set_rate_source(
       [this](const std::string& caller_class) { return LocalRateLimit(caller_class); });
