--- a/tests/platform_adapter/crashing_requests_test.cc
+++ b/tests/platform_adapter/crashing_requests_test.cc
@@ -28,12 +28,12 @@
 namespace {
 
 // Requirement: at most three further runs later than this after the third crash.
-constexpr Duration kTimeToLearn = seconds(3);
-constexpr size_t kAllowedLater = 3;
+constexpr Duration kQuarantineDelay = seconds(3);
+constexpr size_t kMaxLaterRuns = 3;
 // The first three crashes and the further runs.
-constexpr size_t kAllowedInAll = 6;
+constexpr size_t kMaxTotalRuns = 6;
 constexpr Duration kCallerInterval = milliseconds(250);
-constexpr Duration kWatched = seconds(11);
+constexpr Duration kObservationTime = seconds(11);
 
 http::Headers KeyHeader(uint32_t key) {
   http::Headers headers;
@@ -43,36 +43,36 @@
 
 // On a machine that is busy or was suspended, two runs may overlap in the first worker: nothing is
 // known about the request before that worker crashes.
-void CheckThatFewWorkersEnded(CrashingWorkers& workers, const std::string& target) {
-  CHECK_COMPARE(workers.ends(), <=, kAllowedInAll);
+void CheckFewWorkersCrashed(CrashingWorkers& workers, const std::string& target) {
+  CHECK_COMPARE(workers.ends(), <=, kMaxTotalRuns);
   CHECK_EQUAL(workers.Begun(target).size(), workers.ends() + workers.BegunBesideFirst(target));
 }
 
 // Sends the request to nodes 0 and 1 alternately; returns once all attempts are answered.
 void SendRepeatedly(Fleet& fleet, const RepeatingCaller::Message& message,
-                    Duration time = kWatched) {
+                    Duration time = kObservationTime) {
   RepeatingCaller caller(fleet, {0, 1}, message, kCallerInterval);
   RunFor(fleet.loop, time);
   caller.Finish();
 }
 
 // Sends the crashing request to nodes 0 and 1 alternately, and harmless reads to node 0 meanwhile.
-void CheckThatItReachesFewWorkers(Fleet& fleet, const RepeatingCaller::Message& fatal,
-                                  const RepeatingCaller::Message& proper) {
+void CheckReachesFewWorkers(Fleet& fleet, const RepeatingCaller::Message& fatal,
+                            const RepeatingCaller::Message& harmless) {
   fleet.Start();
   CrashingWorkers workers(fleet);
   RepeatingCaller fatal_caller(fleet, {0, 1}, fatal, kCallerInterval);
-  RepeatingCaller proper_caller(fleet, {0}, proper, milliseconds(40));
-  RunFor(fleet.loop, kWatched);
+  RepeatingCaller harmless_caller(fleet, {0}, harmless, milliseconds(40));
+  RunFor(fleet.loop, kObservationTime);
   fatal_caller.Finish();
-  proper_caller.Finish();
+  harmless_caller.Finish();
   CHECK_COMPARE(workers.Begun(fatal.target).size(), >=, 1U);
-  CHECK_COMPARE(workers.BegunAfterThird(fatal.target, kTimeToLearn), <=, kAllowedLater);
-  CheckThatFewWorkersEnded(workers, fatal.target);
+  CHECK_COMPARE(workers.BegunAfterThird(fatal.target, kQuarantineDelay), <=, kMaxLaterRuns);
+  CheckFewWorkersCrashed(workers, fatal.target);
   // No proxy reports success for a request that no worker answered.
   CHECK_EQUAL(0U, fatal_caller.Count(200));
   // Once the request is quarantined, other requests are no longer affected.
-  RepeatingCaller afterwards(fleet, {0, 1}, proper, milliseconds(25));
+  RepeatingCaller afterwards(fleet, {0, 1}, harmless, milliseconds(25));
   RepeatingCaller fatal_again(fleet, {1, 0}, fatal, kCallerInterval);
   RunFor(fleet.loop, seconds(2));
   afterwards.Finish();
@@ -85,7 +85,7 @@
 const std::vector<std::string> kKeyedFleet{"other", "other", "keyed", "keyed", "keyed", "keyed"};
 
 // Checks that all of ten harmless requests for key 7 sent to `node` are served.
-void CheckThatItIsServedAtOnce(Fleet& fleet, size_t node) {
+void CheckTenRequestsServed(Fleet& fleet, size_t node) {
   size_t served = 0;
   for (size_t index = 0; index < 10; ++index) {
     const auto answer = fleet.Request(node, "GET", "/keyed/1", "", KeyHeader(7));
@@ -103,8 +103,8 @@
 
 // A request that has just completed successfully at another node may be refused once: the update
 // takes some milliseconds to arrive, and a caller retries later than that.
-constexpr size_t kRefusalsBetween = 1;
-constexpr Duration kComesBackAfter = milliseconds(150);
+constexpr size_t kMaxRefusals = 1;
+constexpr Duration kRetryDelay = milliseconds(150);
 
 // Starts the request at `node` and returns once a worker is running it.
 std::unique_ptr<Fleet::PendingRequest> BeginRun(Fleet& fleet, CrashingWorkers& workers, size_t node,
@@ -116,14 +116,14 @@
                    [&] { return pending->over || workers.Begun(target).size() > begun; }));
     if (workers.Begun(target).size() > begun) return pending;
     CHECK_EQUAL(503, pending->answer->status);
-    CHECK_COMPARE(refusals, <, kRefusalsBetween);
-    RunFor(fleet.loop, kComesBackAfter);
+    CHECK_COMPARE(refusals, <, kMaxRefusals);
+    RunFor(fleet.loop, kRetryDelay);
   }
 }
 
 // Stops a worker `times` times, for reasons unrelated to the request, while it runs the request.
-void EndUnder(Fleet& fleet, CrashingWorkers& workers, const std::string& target, size_t times,
-              bool good_run_between) {
+void StopWorkersDuring(Fleet& fleet, CrashingWorkers& workers, const std::string& target,
+                       size_t times, bool successful_run_between) {
   for (size_t end = 0; end < times; ++end) {
     const auto pending = BeginRun(fleet, workers, end % 2, target);
     workers.End(workers.LastNode(target));
@@ -131,7 +131,7 @@
     // All workers are up and known to their nodes again.
     CHECK(RunUntil(fleet.loop, [&] { return workers.AllUp(); }));
     RunFor(fleet.loop, milliseconds(1200));
-    if (!good_run_between) continue;
+    if (!successful_run_between) continue;
     const auto answer = fleet.Request(end % 2, "POST", target, "order 7");
     CHECK(answer.has_value());
     CHECK_EQUAL(200, answer->status);
@@ -153,19 +153,19 @@
 
 TEST(CrashingRequests, ARequestThatMayBeRepeatedReachesFewWorkers) {
   Fleet fleet(kPlainFleet);
-  CheckThatItReachesFewWorkers(fleet, {"GET", "/read/fatal", "", {}}, {"GET", "/read/1", "", {}});
+  CheckReachesFewWorkers(fleet, {"GET", "/read/fatal", "", {}}, {"GET", "/read/1", "", {}});
 }
 
 TEST(CrashingRequests, ARequestThatMustNotBeRepeatedReachesFewWorkers) {
   Fleet fleet(kPlainFleet);
-  CheckThatItReachesFewWorkers(fleet, {"POST", "/send/fatal", "order 666", {}},
-                               {"GET", "/read/1", "", {}});
+  CheckReachesFewWorkers(fleet, {"POST", "/send/fatal", "order 666", {}},
+                         {"GET", "/read/1", "", {}});
 }
 
 TEST(CrashingRequests, ARequestOfOneKeyReachesFewWorkers) {
   Fleet fleet(kKeyedFleet);
-  CheckThatItReachesFewWorkers(fleet, {"GET", "/keyed/fatal", "", KeyHeader(51364)},
-                               {"GET", "/keyed/1", "", KeyHeader(7)});
+  CheckReachesFewWorkers(fleet, {"GET", "/keyed/fatal", "", KeyHeader(51364)},
+                         {"GET", "/keyed/1", "", KeyHeader(7)});
 }
 
 TEST(CrashingRequests, ANodeThatStartedSinceKnowsOfIt) {
@@ -186,12 +186,12 @@
 }
 
 TEST(CrashingRequests, ARequestThatWasThereByChanceIsServed) {
-  for (const bool good_run_between : {true, false}) {
+  for (const bool successful_run_between : {true, false}) {
     Fleet fleet(kPlainFleet);
     fleet.Start();
     CrashingWorkers workers(fleet);
     workers.set_run_time(milliseconds(60));
-    EndUnder(fleet, workers, "/send/order", 5, good_run_between);
+    StopWorkersDuring(fleet, workers, "/send/order", 5, successful_run_between);
     CHECK_EQUAL(10U, ServedOfTen(fleet, "/send/order"));
   }
 }
@@ -246,7 +246,7 @@
   CHECK(Served(fleet, 0, "/read/1"));
   STRCMP_CONTAINS("event=state_item_refused key=runshelf/quarantine/x", fleet.Log().c_str());
   SendRepeatedly(fleet, {"GET", "/read/fatal", "", {}});
-  CheckThatFewWorkersEnded(workers, "/read/fatal");
+  CheckFewWorkersCrashed(workers, "/read/fatal");
 }
 
 // An operator who has fixed the worker releases the request from quarantine.
@@ -268,7 +268,7 @@
   CHECK(quarantine.has_value());
   const size_t begun = workers.Begun("/read/fatal").size();
   // All runs but the first two were counted before they were sent, or ran concurrently with these.
-  CHECK_EQUAL(kAllowedInAll, begun);
+  CHECK_EQUAL(kMaxTotalRuns, begun);
   CHECK_COMPARE(quarantine->trials, >=, 3U);
   fleet.Request(0, "GET", "/read/fatal", "");
   CHECK_EQUAL(begun, workers.Begun("/read/fatal").size());
@@ -288,15 +288,15 @@
   fleet.store.set_fault(FakeStore::Fault::kRefuse);
   fleet.Request(0, "POST", "/send/fatal", "order 666");
   RunFor(fleet.loop, milliseconds(300));
-  const size_t beside = workers.LastNode("/send/fatal");
-  fleet.Kill(beside);
+  const size_t worker_node = workers.LastNode("/send/fatal");
+  fleet.Kill(worker_node);
   fleet.store.set_fault(FakeStore::Fault::kNone);
   // The worker is up again before the process of its node.
   CHECK(RunUntil(fleet.loop, [&] { return workers.AllUp(); }));
-  fleet.Restart(beside);
+  fleet.Restart(worker_node);
   RunFor(fleet.loop, milliseconds(1500));
   SendRepeatedly(fleet, {"POST", "/send/fatal", "order 666", {}});
-  CHECK_EQUAL(kAllowedInAll, workers.Begun("/send/fatal").size());
+  CHECK_EQUAL(kMaxTotalRuns, workers.Begun("/send/fatal").size());
 }
 
 // Nodes that were notified while the store was unavailable write the crash to the store once it is
@@ -308,16 +308,16 @@
   fleet.store.set_fault(FakeStore::Fault::kRefuse);
   fleet.Request(0, "POST", "/send/fatal", "order 666");
   RunFor(fleet.loop, milliseconds(600));
-  const size_t beside = workers.LastNode("/send/fatal");
-  fleet.Kill(beside);
+  const size_t worker_node = workers.LastNode("/send/fatal");
+  fleet.Kill(worker_node);
   fleet.Kill(0);
   fleet.Kill(1);
   fleet.store.set_fault(FakeStore::Fault::kNone);
   CHECK(RunUntil(fleet.loop, [&] { return workers.AllUp(); }));
-  for (const size_t node : {beside, size_t{0}, size_t{1}}) fleet.Restart(node);
+  for (const size_t node : {worker_node, size_t{0}, size_t{1}}) fleet.Restart(node);
   RunFor(fleet.loop, milliseconds(3500));
   SendRepeatedly(fleet, {"POST", "/send/fatal", "order 666", {}});
-  CHECK_COMPARE(workers.Begun("/send/fatal").size(), <=, kAllowedInAll);
+  CHECK_COMPARE(workers.Begun("/send/fatal").size(), <=, kMaxTotalRuns);
 }
 
 // The machine of the third worker is lost with it, so that no node counts that crash.
@@ -336,8 +336,8 @@
   fleet.Restart(workers.LastNode("/send/fatal"));
   RunFor(fleet.loop, milliseconds(2000));
   SendRepeatedly(fleet, {"POST", "/send/fatal", "order 666", {}});
-  CHECK_COMPARE(workers.BegunAfterThird("/send/fatal", kTimeToLearn), <=, kAllowedLater);
-  CHECK_COMPARE(workers.Begun("/send/fatal").size(), <=, kAllowedInAll);
+  CHECK_COMPARE(workers.BegunAfterThird("/send/fatal", kQuarantineDelay), <=, kMaxLaterRuns);
+  CHECK_COMPARE(workers.Begun("/send/fatal").size(), <=, kMaxTotalRuns);
 }
 
 // Requests that wait for the owner of their key are forwarded to it at the same time.
@@ -352,11 +352,11 @@
                          milliseconds(60));
   CHECK(RunUntil(fleet.loop, [&] { return workers.ends() == 1; }));
   const size_t at_first = workers.Begun("/keyed/fatal").size();
-  RunFor(fleet.loop, kWatched);
+  RunFor(fleet.loop, kObservationTime);
   first.Finish();
   second.Finish();
   // Nothing is known about the request before the first crash.
-  CHECK_COMPARE(workers.Begun("/keyed/fatal").size() - at_first, <=, kAllowedInAll - 1);
+  CHECK_COMPARE(workers.Begun("/keyed/fatal").size() - at_first, <=, kMaxTotalRuns - 1);
 }
 
 // The receiving node knows of successful runs of the request; the nodes of the workers that get the
@@ -374,10 +374,10 @@
     CHECK(RunUntil(fleet.loop, [&] { return pending->over; }));
     CHECK(RunUntil(fleet.loop, [&] { return workers.AllUp(); }));
     RunFor(fleet.loop, milliseconds(1500));
-    CheckThatItIsServedAtOnce(fleet, 0);
+    CheckTenRequestsServed(fleet, 0);
   }
   RunFor(fleet.loop, milliseconds(500));
-  CheckThatItIsServedAtOnce(fleet, 1);
+  CheckTenRequestsServed(fleet, 1);
 }
 
 // The store does not answer: for seconds a node cannot find out whether a trial run may begin.
--- a/tests/platform_adapter/heartbeat_keys_test.cc
+++ b/tests/platform_adapter/heartbeat_keys_test.cc
@@ -94,18 +94,18 @@
 
 // The answer to a heartbeat is delayed by 600 ms at most. An attempt during which the machine was
 // suspended for that long is repeated.
-constexpr Duration kWaitedInVain = std::chrono::milliseconds(580);
-constexpr int kTries = 3;
+constexpr Duration kAnswerTimeout = std::chrono::milliseconds(580);
+constexpr int kMaxAttempts = 3;
 
 // Without its keys in the answer the worker serves nothing until its next heartbeat.
 TEST(HeartbeatKeys, TheAnswerToTheFirstHeartbeatOfANewIncarnationHasItsKeys) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   fleet.Start();
   fleet.nodes[0].worker->set_heartbeats_cut(true);
-  for (int attempt = 0; attempt < kTries; ++attempt) {
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     const Instant start = fleet.loop.Now();
     const auto answer = fleet.Heartbeat(0, "new-" + std::to_string(attempt), HeartbeatBody(1, ""));
-    if (fleet.loop.Now() - start >= kWaitedInVain) continue;
+    if (fleet.loop.Now() - start >= kAnswerTimeout) continue;
     CHECK(answer.has_value());
     CHECK_EQUAL(200, answer->status);
     CHECK(Contains(answer->body, "\"holds\":[["));
@@ -115,13 +115,13 @@
 }
 
 TEST(HeartbeatKeys, AHeartbeatThatComesBeforeTheStateIsKnownIsAnsweredOnceItIs) {
-  for (int attempt = 0; attempt < kTries; ++attempt) {
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     Fleet fleet({"keyed"}, kByHeartbeat);
     fleet.Launch();
     fleet.nodes[0].worker->set_heartbeats_cut(true);
     const Instant start = fleet.loop.Now();
     const auto answer = fleet.Heartbeat(0, "w0", HeartbeatBody(1, ""));
-    if (fleet.loop.Now() - start >= kWaitedInVain) continue;
+    if (fleet.loop.Now() - start >= kAnswerTimeout) continue;
     CHECK(answer.has_value());
     CHECK_EQUAL(200, answer->status);
     return;
--- a/tests/platform_adapter/restored_quarantine_test.cc
+++ b/tests/platform_adapter/restored_quarantine_test.cc
@@ -19,52 +19,52 @@
 namespace {
 
 // The first three crashes and at most three further runs.
-constexpr size_t kAllowedInAll = 6;
+constexpr size_t kMaxTotalRuns = 6;
 // Requirement: at most three further runs later than this after the third crash.
-constexpr Duration kTimeToLearn = seconds(3);
-constexpr size_t kAllowedLater = 3;
+constexpr Duration kQuarantineDelay = seconds(3);
+constexpr size_t kMaxLaterRuns = 3;
 constexpr Duration kCallerInterval = milliseconds(250);
-constexpr Duration kWatched = seconds(11);
+constexpr Duration kObservationTime = seconds(11);
 // Time within which a node reads an answer of the store.
-constexpr Duration kTimeToRead = milliseconds(60);
+constexpr Duration kStoreReadTime = milliseconds(60);
 // Time within which each worker sends several heartbeats.
-constexpr Duration kTimeToTell = milliseconds(300);
+constexpr Duration kHeartbeatTime = milliseconds(300);
 // Time within which the nodes that know of a crash rewrite its item.
-constexpr Duration kTimeToWrite = seconds(1);
-constexpr Duration kAway = milliseconds(300);
+constexpr Duration kRewriteTime = seconds(1);
+constexpr Duration kStoreOutage = milliseconds(300);
 // Time for which starting nodes wait for others that kept their state, before they record that none
 // did.
-constexpr Duration kTimeToMissOthers = seconds(8);
+constexpr Duration kPeerWaitTime = seconds(8);
 const char* const kFatal = "/send/fatal";
 const std::vector<std::string> kFleet{"other", "other", "other", "plain",
                                       "plain", "plain", "plain"};
 
-std::string EndKey(const Fleet& fleet, size_t node, const std::string& worker_life) {
+std::string WorkerEndKey(const Fleet& fleet, size_t node, const std::string& worker_life) {
   return "runshelf/worker-ends/" + worker_life + "/" + fleet.nodes[node].settings.node_name;
 }
 
 // Whether the node that received the request, and whose attempt failed, survives.
-enum class Sender { kLives, kLost };
+enum class ReceivingNode { kSurvives, kLost };
 
-// Crashes a worker by a request sent to node `taker`. The store acknowledges the items that nodes
-// write about the crash, and is restored from a snapshot without them before any watch has
+// Crashes a worker by a request sent to node `receiver`. The store acknowledges the items that
+// nodes write about the crash, and is restored from a snapshot without them before any watch has
 // delivered them. Returns the key of the crash item.
-std::string EndThatTheStoreForgets(Fleet& fleet, CrashingWorkers& workers, size_t taker,
-                                   Sender sender) {
+std::string CrashLostByStore(Fleet& fleet, CrashingWorkers& workers, size_t receiver,
+                             ReceivingNode receiving_node) {
   // Lets each node learn the incarnation of its worker.
-  RunFor(fleet.loop, kTimeToTell);
+  RunFor(fleet.loop, kHeartbeatTime);
   std::vector<std::string> lives;
   for (const Fleet::Node& node : fleet.nodes) lives.push_back(node.worker->life());
   const auto copy = fleet.store.TakeCopy();
   fleet.store.set_watches_silent(true);
   const size_t ends = workers.ends();
-  const auto pending = fleet.Begin(taker, "POST", kFatal, "order 666");
+  const auto pending = fleet.Begin(receiver, "POST", kFatal, "order 666");
   CHECK(RunUntil(fleet.loop, [&] { return workers.ends() > ends; }));
-  const size_t beside = workers.LastNode(kFatal);
-  std::string key = EndKey(fleet, beside, lives[beside]);
+  const size_t worker_node = workers.LastNode(kFatal);
+  std::string key = WorkerEndKey(fleet, worker_node, lives[worker_node]);
   CHECK(RunUntil(fleet.loop, [&] { return fleet.store.Find(key) != nullptr; }));
-  RunFor(fleet.loop, kTimeToRead);
-  if (sender == Sender::kLost) fleet.Kill(taker);
+  RunFor(fleet.loop, kStoreReadTime);
+  if (receiving_node == ReceivingNode::kLost) fleet.Kill(receiver);
   fleet.store.Restore(*copy);
   fleet.store.set_watches_silent(false);
   CHECK(fleet.store.Find(key) == nullptr);
@@ -79,27 +79,27 @@
 
 // Sends the request to the first three nodes repeatedly, and checks that it reaches no more workers
 // than allowed.
-void CheckThatItReachesFewWorkers(Fleet& fleet, CrashingWorkers& workers) {
+void CheckReachesFewWorkers(Fleet& fleet, CrashingWorkers& workers) {
   RepeatingCaller caller(fleet, {0, 1, 2}, {"POST", kFatal, "order 666", {}}, kCallerInterval);
-  RunFor(fleet.loop, kWatched);
+  RunFor(fleet.loop, kObservationTime);
   caller.Finish();
-  CHECK_COMPARE(workers.BegunAfterThird(kFatal, kTimeToLearn), <=, kAllowedLater);
-  CHECK_COMPARE(workers.Begun(kFatal).size(), <=, kAllowedInAll);
+  CHECK_COMPARE(workers.BegunAfterThird(kFatal, kQuarantineDelay), <=, kMaxLaterRuns);
+  CHECK_COMPARE(workers.Begun(kFatal).size(), <=, kMaxTotalRuns);
 }
 
-// Crashes a worker by a request sent to node `taker`.
-void EndWorker(Fleet& fleet, CrashingWorkers& workers, size_t taker) {
-  RunFor(fleet.loop, kTimeToTell);
+// Crashes a worker by a request sent to node `receiver`.
+void CrashWorker(Fleet& fleet, CrashingWorkers& workers, size_t receiver) {
+  RunFor(fleet.loop, kHeartbeatTime);
   const size_t ends = workers.ends();
-  fleet.Request(taker, "POST", kFatal, "order 666");
+  fleet.Request(receiver, "POST", kFatal, "order 666");
   CHECK(RunUntil(fleet.loop, [&] { return workers.ends() > ends; }));
   WaitForWorkers(fleet, workers);
 }
 
 // Restarts all nodes while the store is unavailable and is restored from `copy`.
-void LoseAllNodes(Fleet& fleet, const FakeStore::Copy& copy) {
+void RestartAllNodesDuringRestore(Fleet& fleet, const FakeStore::Copy& copy) {
   fleet.store.set_fault(FakeStore::Fault::kReset);
-  RunFor(fleet.loop, kAway);
+  RunFor(fleet.loop, kStoreOutage);
   for (size_t node = 0; node < fleet.nodes.size(); ++node) fleet.Kill(node);
   fleet.store.Restore(copy);
   fleet.store.set_fault(FakeStore::Fault::kNone);
@@ -121,9 +121,9 @@
   Fleet fleet(kFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
-  const std::string key = EndThatTheStoreForgets(fleet, workers, 0, Sender::kLost);
+  const std::string key = CrashLostByStore(fleet, workers, 0, ReceivingNode::kLost);
   CHECK(RunUntil(
-      fleet.loop, [&] { return fleet.store.Find(key) != nullptr; }, kTimeToWrite));
+      fleet.loop, [&] { return fleet.store.Find(key) != nullptr; }, kRewriteTime));
 }
 
 // Guards against losing a crash item that the store acknowledged but delivered in no watch: the
@@ -133,23 +133,23 @@
   Fleet fleet(kFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
-  RunFor(fleet.loop, kTimeToTell);
+  RunFor(fleet.loop, kHeartbeatTime);
   std::vector<std::string> lives;
   for (const Fleet::Node& node : fleet.nodes) lives.push_back(node.worker->life());
   const auto copy = fleet.store.TakeCopy();
   fleet.store.set_watches_silent(true);
   fleet.Request(0, "POST", kFatal, "order 666");
-  const size_t beside = workers.LastNode(kFatal);
-  const std::string key = EndKey(fleet, beside, lives[beside]);
+  const size_t worker_node = workers.LastNode(kFatal);
+  const std::string key = WorkerEndKey(fleet, worker_node, lives[worker_node]);
   CHECK(RunUntil(fleet.loop, [&] { return fleet.store.Find(key) != nullptr; }));
   RunFor(fleet.loop, milliseconds(1500));
-  fleet.Kill(beside);
+  fleet.Kill(worker_node);
   fleet.Kill(0);
   fleet.store.Restore(*copy);
   fleet.store.set_watches_silent(false);
   CHECK(fleet.store.Find(key) == nullptr);
   CHECK(RunUntil(
-      fleet.loop, [&] { return fleet.store.Find(key) != nullptr; }, kTimeToWrite));
+      fleet.loop, [&] { return fleet.store.Find(key) != nullptr; }, kRewriteTime));
 }
 
 // Guards against one further run of the request for each crash item lost in this way.
@@ -158,11 +158,11 @@
   fleet.Start();
   CrashingWorkers workers(fleet);
   for (size_t end = 0; end < 3; ++end) {
-    EndThatTheStoreForgets(fleet, workers, 0, Sender::kLost);
+    CrashLostByStore(fleet, workers, 0, ReceivingNode::kLost);
     fleet.Restart(0);
     WaitForWorkers(fleet, workers);
   }
-  CheckThatItReachesFewWorkers(fleet, workers);
+  CheckReachesFewWorkers(fleet, workers);
 }
 
 // Guards against repeated trial runs: trials that a node had counted in the store, but not yet seen
@@ -173,15 +173,15 @@
   fleet.Start();
   CrashingWorkers workers(fleet);
   for (size_t end = 0; end < 2; ++end) {
-    RunFor(fleet.loop, kTimeToTell);
+    RunFor(fleet.loop, kHeartbeatTime);
     fleet.Request(0, "POST", kFatal, "order 666");
     WaitForWorkers(fleet, workers);
   }
   for (size_t trial = 0; trial < 2; ++trial) {
-    EndThatTheStoreForgets(fleet, workers, trial, Sender::kLives);
+    CrashLostByStore(fleet, workers, trial, ReceivingNode::kSurvives);
     WaitForWorkers(fleet, workers);
   }
-  CheckThatItReachesFewWorkers(fleet, workers);
+  CheckReachesFewWorkers(fleet, workers);
 }
 
 // Guards against losing all records of a request when all nodes are lost during a restore: a
@@ -191,12 +191,12 @@
   fleet.Start();
   CrashingWorkers workers(fleet);
   const auto copy = fleet.store.TakeCopy();
-  for (size_t end = 0; end < 2; ++end) EndWorker(fleet, workers, end);
-  LoseAllNodes(fleet, *copy);
+  for (size_t end = 0; end < 2; ++end) CrashWorker(fleet, workers, end);
+  RestartAllNodesDuringRestore(fleet, *copy);
   WaitForWorkers(fleet, workers);
-  CheckThatItReachesFewWorkers(fleet, workers);
+  CheckReachesFewWorkers(fleet, workers);
   CHECK(RunUntil(
-      fleet.loop, [&] { return MemoryRecord(fleet, 1) == "lost"; }, kTimeToMissOthers));
+      fleet.loop, [&] { return MemoryRecord(fleet, 1) == "lost"; }, kPeerWaitTime));
 }
 
 // The same with three lost crashes, which had already put the request into quarantine.
@@ -205,10 +205,10 @@
   fleet.Start();
   CrashingWorkers workers(fleet);
   const auto copy = fleet.store.TakeCopy();
-  for (size_t end = 0; end < 3; ++end) EndWorker(fleet, workers, end);
-  LoseAllNodes(fleet, *copy);
+  for (size_t end = 0; end < 3; ++end) CrashWorker(fleet, workers, end);
+  RestartAllNodesDuringRestore(fleet, *copy);
   WaitForWorkers(fleet, workers);
-  CheckThatItReachesFewWorkers(fleet, workers);
+  CheckReachesFewWorkers(fleet, workers);
 }
 
 // Guards against strict quarantine rules in a fleet that has lost no records: requests were refused
@@ -219,14 +219,14 @@
   CHECK(RunUntil(fleet.loop, [&] { return MemoryRecord(fleet, 0) == "kept"; }));
   const auto copy = fleet.store.TakeCopy();
   fleet.store.set_fault(FakeStore::Fault::kReset);
-  RunFor(fleet.loop, kAway);
+  RunFor(fleet.loop, kStoreOutage);
   fleet.store.Restore(*copy);
   fleet.store.set_fault(FakeStore::Fault::kNone);
   CHECK(RunUntil(
       fleet.loop, [&] { return MemoryRecord(fleet, 1) == "kept"; }, seconds(4)));
   fleet.Kill(0);
   fleet.Restart(0);
-  RunFor(fleet.loop, kTimeToMissOthers);
+  RunFor(fleet.loop, kPeerWaitTime);
   STRCMP_EQUAL("kept", MemoryRecord(fleet, 1).c_str());
 }
 
@@ -237,9 +237,9 @@
   fleet.Start();
   CHECK(RunUntil(fleet.loop, [&] { return MemoryRecord(fleet, 0) == "kept"; }));
   const auto copy = fleet.store.TakeCopy();
-  LoseAllNodes(fleet, *copy);
+  RestartAllNodesDuringRestore(fleet, *copy);
   RunFor(fleet.loop, seconds(1));
   fleet.store.Restore(*copy);
   CHECK(RunUntil(
-      fleet.loop, [&] { return MemoryRecord(fleet, 2) == "lost"; }, kTimeToMissOthers));
+      fleet.loop, [&] { return MemoryRecord(fleet, 2) == "lost"; }, kPeerWaitTime));
 }
--- a/tests/platform_adapter/silent_store_connections_test.cc
+++ b/tests/platform_adapter/silent_store_connections_test.cc
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr Duration kNoticedWithin = std::chrono::seconds(1);
+constexpr Duration kDetectionTime = std::chrono::seconds(1);
 // Fleets guarantee their operators that a change is in force within two seconds or more.
 constexpr Duration kInForceWithin = std::chrono::seconds(2);
 // The leader of the feed and its standby.
@@ -88,9 +88,9 @@
     LoseNextWatches();
     WriteConfiguration();
     CHECK(RunUntil(
-        fleet->loop, [this] { return LeaderHasLatest(); }, kNoticedWithin));
+        fleet->loop, [this] { return LeaderHasLatest(); }, kDetectionTime));
     CHECK(RunUntil(
-        fleet->loop, [this] { return AllHaveLatest(); }, kInForceWithin - kNoticedWithin));
+        fleet->loop, [this] { return AllHaveLatest(); }, kInForceWithin - kDetectionTime));
     RunFor(fleet->loop, std::chrono::milliseconds(1500));
   }
 }
@@ -103,9 +103,9 @@
     proxy->SilenceOpenConnections();
     WriteConfiguration();
     CHECK(RunUntil(
-        fleet->loop, [this] { return LeaderHasLatest(); }, kNoticedWithin));
+        fleet->loop, [this] { return LeaderHasLatest(); }, kDetectionTime));
     CHECK(RunUntil(
-        fleet->loop, [this] { return AllHaveLatest(); }, kInForceWithin - kNoticedWithin));
+        fleet->loop, [this] { return AllHaveLatest(); }, kInForceWithin - kDetectionTime));
     // Each round starts at a different time between two renewals.
     RunFor(fleet->loop, std::chrono::milliseconds(3150));
   }
@@ -125,9 +125,9 @@
     proxy->SilenceOpenConnections();
     WriteConfiguration();
     CHECK(RunUntil(
-        fleet->loop, [this] { return LeaderHasLatest(); }, kNoticedWithin));
+        fleet->loop, [this] { return LeaderHasLatest(); }, kDetectionTime));
     CHECK(RunUntil(
-        fleet->loop, [this] { return AllHaveLatest(); }, kInForceWithin - kNoticedWithin));
+        fleet->loop, [this] { return AllHaveLatest(); }, kInForceWithin - kDetectionTime));
     // Each round starts at a different time between two renewals.
     RunFor(fleet->loop, std::chrono::milliseconds(3000 + 100 * round));
   }
@@ -138,7 +138,7 @@
 TEST(SilentStoreConnections, AQuietFleetAsksTheStoreLittle) {
   constexpr uint64_t kSeconds = 6;
   constexpr uint64_t kRenewalsOfANode = kSeconds / 2 + 1;
-  constexpr uint64_t kMostAddedPerSecond = 2;  // For the whole fleet.
+  constexpr uint64_t kMaxAddedPerSecond = 2;  // For the whole fleet.
   StartFleet({"plain", "other", "other", "other", "other", "other"});
   RunFor(fleet->loop, std::chrono::seconds(4));
   const auto calls = [this] {
@@ -149,8 +149,7 @@
   const uint64_t before = calls();
   const uint64_t watches = fleet->store.calls("/runshelf/kv-watch");
   RunFor(fleet->loop, std::chrono::seconds(kSeconds));
-  CHECK(calls() - before <=
-        fleet->nodes.size() * kRenewalsOfANode + kSeconds * kMostAddedPerSecond);
+  CHECK(calls() - before <= fleet->nodes.size() * kRenewalsOfANode + kSeconds * kMaxAddedPerSecond);
   // A renewal costs the store a tenth of a watch.
   CHECK(fleet->store.calls("/runshelf/kv-watch") - watches <= kWatchingNodes);
 }
--- a/tests/platform_adapter/stopping_node_test.cc
+++ b/tests/platform_adapter/stopping_node_test.cc
@@ -17,8 +17,8 @@
 
 // Times after the stop request at which the node notifies other nodes and at which it starts to
 // refuse new requests.
-constexpr Duration kTold = std::chrono::milliseconds(900);
-constexpr Duration kTakesRequests = std::chrono::milliseconds(2300);
+constexpr Duration kNotifyDelay = std::chrono::milliseconds(900);
+constexpr Duration kAcceptPeriod = std::chrono::milliseconds(2300);
 // Allows for messages in transit at those times on a busy machine.
 constexpr Duration kSlack = std::chrono::milliseconds(300);
 
@@ -56,7 +56,7 @@
   SteadyClients clients(fleet, 2);
   RunFor(fleet.loop, std::chrono::milliseconds(300));
   SilenceStore(fleet);
-  const Instant told_to_stop = fleet.loop.Now();
+  const Instant stop_requested_at = fleet.loop.Now();
   const Duration elapsed = StopAndEnd(fleet, 0);
   RunFor(fleet.loop, std::chrono::milliseconds(300));
   clients.Finish();
@@ -65,8 +65,8 @@
   CHECK_EQUAL(0, leaving.calls_cut());
   CHECK_EQUAL_TEXT(clients.sent(), clients.Count(200), (clients.NotServed() + fleet.Log()).c_str());
   // Requests from other nodes soon go to the other worker, and the stop does not wait for them.
-  CHECK(leaving.last_begun() - told_to_stop < kTold + kSlack);
-  CHECK(elapsed < kTakesRequests + kSlack);
+  CHECK(leaving.last_begun() - stop_requested_at < kNotifyDelay + kSlack);
+  CHECK(elapsed < kAcceptPeriod + kSlack);
 }
 
 // Guards against a deadlock in the test set-up: runs hold slots while their nested calls need slots
@@ -96,17 +96,17 @@
   CallingWorker leaving(fleet, 0);
   SteadyClients clients(fleet, 1);
   SilenceStore(fleet);
-  const Instant told_to_stop = fleet.loop.Now();
+  const Instant stop_requested_at = fleet.loop.Now();
   const Duration elapsed = StopAndEnd(fleet, 0);
   const Instant ended = fleet.loop.Now();
   clients.Finish();
   CHECK_EQUAL(0, leaving.calls_cut());
-  CHECK_EQUAL(0, clients.Count(503, {}, told_to_stop + kTakesRequests - kSlack));
-  CHECK_EQUAL(0, clients.Count(200, told_to_stop + kTakesRequests + kSlack));
+  CHECK_EQUAL(0, clients.Count(503, {}, stop_requested_at + kAcceptPeriod - kSlack));
+  CHECK_EQUAL(0, clients.Count(200, stop_requested_at + kAcceptPeriod + kSlack));
   // Until the process ends each request is served completely or refused with 503.
   CHECK_EQUAL(0, clients.Count(0, {}, ended));
   CHECK_EQUAL(0, clients.Count(502, {}, ended));
-  CHECK(elapsed < kTakesRequests + kSlack);
+  CHECK(elapsed < kAcceptPeriod + kSlack);
 }
 
 // Makes all workers keep their requests unanswered, in `held`.
@@ -286,7 +286,7 @@
   RunFor(fleet.loop, std::chrono::milliseconds(100));
   SilenceStore(fleet);
   fleet.nodes[0].sidecar->Stop([] {});
-  RunFor(fleet.loop, kTold + kSlack);
+  RunFor(fleet.loop, kNotifyDelay + kSlack);
   fill();
   for (int count = 0; count < 5; ++count) {
     http::Headers headers;
--- a/tests/platform_adapter/store_restore_test.cc
+++ b/tests/platform_adapter/store_restore_test.cc
@@ -21,18 +21,18 @@
 
 // Longest time for which requests for a key may be refused while its grants are renewed under new
 // tokens; shorter than clients wait for an answer.
-constexpr Duration kLongestGap = std::chrono::milliseconds(500);
-constexpr Duration kAway = std::chrono::milliseconds(300);
+constexpr Duration kMaxServiceGap = std::chrono::milliseconds(500);
+constexpr Duration kStoreOutage = std::chrono::milliseconds(300);
 // Time after which every node uses a configuration that the operator has written.
 constexpr Duration kConfigurationBound = std::chrono::seconds(2);
 // Grants from before the restore expire within 8 s; a change of the shard map and the next grants
 // follow.
 constexpr Duration kSettleTime = std::chrono::seconds(12);
-constexpr Duration kJudgeInterval = std::chrono::milliseconds(5);
+constexpr Duration kCheckInterval = std::chrono::milliseconds(5);
 
 // The longest lease of a node, which no grant outlasts, plus the time for a change of the shard map
 // and for the grants.
-constexpr Duration kKeysBackWithin = std::chrono::seconds(10);
+constexpr Duration kKeyRecoveryTime = std::chrono::seconds(10);
 
 enum class Restarts { kNone, kAll };
 
@@ -76,7 +76,7 @@
         judge_->OnReleased(worker->life(), {first, last});
       });
     }
-    timer_.Start(kJudgeInterval, /*repeating=*/true);
+    timer_.Start(kCheckInterval, /*repeating=*/true);
   }
 
   void ExpectNoViolation() const {
@@ -111,11 +111,11 @@
   event::Timer timer_;
 };
 
-// Makes the store unavailable for `kAway` and restores it from `copy`. With Restarts::kAll, all
-// nodes restart as the store becomes available again.
+// Makes the store unavailable for `kStoreOutage` and restores it from `copy`. With Restarts::kAll,
+// all nodes restart as the store becomes available again.
 void RestoreStore(Fleet* fleet, const FakeStore::Copy& copy, Restarts restarts) {
   fleet->store.set_fault(FakeStore::Fault::kReset);
-  RunFor(fleet->loop, kAway);
+  RunFor(fleet->loop, kStoreOutage);
   fleet->store.Restore(copy);
   const bool restart = restarts == Restarts::kAll;
   for (size_t node = 0; restart && node < fleet->nodes.size(); ++node) fleet->Kill(node);
@@ -130,7 +130,7 @@
 }
 
 // Moves keys from one node to another, then restores a snapshot in which the move is in progress.
-void CheckKeysThatMoved(routes::GrantDelivery delivery, Restarts restarts) {
+void CheckMovedKeys(routes::GrantDelivery delivery, Restarts restarts) {
   Fleet fleet({"keyed", "keyed", "keyed", "other"}, delivery);
   fleet.Start();
   OwnershipWatch watch(&fleet);
@@ -149,7 +149,7 @@
 }
 
 // Restarts all nodes during a restore, and again while keys wait for the former grants to expire.
-void CheckThatKeysAreBackInTime(routes::GrantDelivery delivery) {
+void CheckKeyRecoveryTime(routes::GrantDelivery delivery) {
   Fleet fleet({"keyed", "keyed", "keyed", "other"}, delivery);
   fleet.Start();
   OwnershipWatch watch(&fleet);
@@ -159,7 +159,7 @@
   RunFor(fleet.loop, std::chrono::seconds(5));
   for (size_t node = 0; node < fleet.nodes.size(); ++node) fleet.Kill(node);
   for (size_t node = 0; node < fleet.nodes.size(); ++node) fleet.Restart(node);
-  const Duration left = restored + kKeysBackWithin - fleet.loop.Now();
+  const Duration left = restored + kKeyRecoveryTime - fleet.loop.Now();
   CHECK(RunUntil(
       fleet.loop, [&] { return fleet.EveryKeyHeld(); }, left));
   watch.ExpectNoViolation();
@@ -207,21 +207,21 @@
 // Guards against repeating a completed move that the restored shard map shows as in progress: it
 // was repeated under the same token, while the worker that had received the keys still held them.
 TEST(StoreRestore, KeysThatMovedSinceTheCopyHaveOneHolder) {
-  CheckKeysThatMoved(routes::GrantDelivery::kCalls, Restarts::kNone);
+  CheckMovedKeys(routes::GrantDelivery::kCalls, Restarts::kNone);
 }
 
 // The same when all nodes restart, so that none remembers the map from before the restore.
 TEST(StoreRestore, KeysThatMovedSinceTheCopyHaveOneHolderWhenAllNodesStartAgain) {
-  CheckKeysThatMoved(routes::GrantDelivery::kCalls, Restarts::kAll);
+  CheckMovedKeys(routes::GrantDelivery::kCalls, Restarts::kAll);
 }
 
 // The same with keys granted in heartbeat answers.
 TEST(StoreRestore, LeasedKeysThatMovedSinceTheCopyHaveOneHolder) {
-  CheckKeysThatMoved(routes::GrantDelivery::kHeartbeats, Restarts::kNone);
+  CheckMovedKeys(routes::GrantDelivery::kHeartbeats, Restarts::kNone);
 }
 
 TEST(StoreRestore, LeasedKeysThatMovedSinceTheCopyHaveOneHolderWhenAllNodesStartAgain) {
-  CheckKeysThatMoved(routes::GrantDelivery::kHeartbeats, Restarts::kAll);
+  CheckMovedKeys(routes::GrantDelivery::kHeartbeats, Restarts::kAll);
 }
 
 // Guards against basing changes of the shard map on a revision that the store no longer has: all
@@ -268,8 +268,8 @@
     longest = std::max(longest, fleet.loop.Now() - served_at);
     served_at = fleet.loop.Now();
   }
-  CHECK(longest < kLongestGap);
-  CHECK(end - served_at < kLongestGap);
+  CHECK(longest < kMaxServiceGap);
+  CHECK(end - served_at < kMaxServiceGap);
 }
 
 // After each restore the fencing tokens increase and the owners stay.
@@ -384,10 +384,10 @@
 // Guards against counting the wait for former grants from the start of each process: no worker
 // served the keys until 8 s after the last start, however long ago the store had been restored.
 TEST(StoreRestore, KeysAreBackInTimeThoughNodesStartAgainMeanwhile) {
-  CheckThatKeysAreBackInTime(routes::GrantDelivery::kCalls);
+  CheckKeyRecoveryTime(routes::GrantDelivery::kCalls);
 }
 
 // The same with keys granted in heartbeat answers.
 TEST(StoreRestore, LeasedKeysAreBackInTimeThoughNodesStartAgainMeanwhile) {
-  CheckThatKeysAreBackInTime(routes::GrantDelivery::kHeartbeats);
+  CheckKeyRecoveryTime(routes::GrantDelivery::kHeartbeats);
 }
--- a/tests/platform_adapter/worker_lives_test.cc
+++ b/tests/platform_adapter/worker_lives_test.cc
@@ -29,8 +29,8 @@
 
 namespace {
 
-constexpr int64_t kFirstBirth = 1700000000000;
-constexpr int64_t kSecondBirth = kFirstBirth + 60000;
+constexpr int64_t kFirstStartMs = 1700000000000;
+constexpr int64_t kSecondStartMs = kFirstStartMs + 60000;
 constexpr Duration kRecovery = std::chrono::seconds(12);
 
 constexpr routes::GrantDelivery kDeliveries[] = {routes::GrantDelivery::kCalls,
@@ -47,13 +47,13 @@
 
 // Stops the worker of node 0 and restarts it under its identity after `down`. No key may be granted
 // to the new incarnation under a token of the former one, and all keys must be held again.
-void RestartUnderOneIdentity(routes::GrantDelivery delivery, Duration down) {
+void CheckRestartWithSameIdentity(routes::GrantDelivery delivery, Duration down) {
   Fleet fleet({"keyed", "keyed", "other"}, delivery);
-  fleet.SetBorn(kFirstBirth);
+  fleet.SetBorn(kFirstStartMs);
   fleet.Start();
   const uint64_t former = HighestToken(fleet, 0);
   uint64_t lowest = UINT64_MAX;
-  fleet.ReplaceWorker(0, "w0", kSecondBirth, down);
+  fleet.ReplaceWorker(0, "w0", kSecondStartMs, down);
   fleet.nodes[0].worker->set_on_granted(
       [&](const FakeWorker::Grant& grant, bool) { lowest = std::min(lowest, grant.fence); });
   CHECK(RunUntil(
@@ -68,25 +68,26 @@
 TEST_GROUP(WorkerLives){};
 
 TEST(WorkerLives, TheNextLifeOfAWorkerHoldsKeysUnderHigherTokens) {
-  for (const auto delivery : kDeliveries) RestartUnderOneIdentity(delivery, milliseconds(5));
+  for (const auto delivery : kDeliveries) CheckRestartWithSameIdentity(delivery, milliseconds(5));
 }
 
 TEST(WorkerLives, TheNextLifeThatComesAfterItWasMissedHoldsKeysUnderHigherTokens) {
-  for (const auto delivery : kDeliveries) RestartUnderOneIdentity(delivery, milliseconds(1500));
+  for (const auto delivery : kDeliveries)
+    CheckRestartWithSameIdentity(delivery, milliseconds(1500));
 }
 
 // The new incarnation accepts connections at once, and its first heartbeat comes later: until then
 // only its identity is known, which is that of the former incarnation.
 TEST(WorkerLives, NoGrantReachesTheNextLifeBeforeItIsKnown) {
   Fleet fleet({"keyed", "other"});
-  fleet.SetBorn(kFirstBirth);
+  fleet.SetBorn(kFirstStartMs);
   fleet.Start();
   const uint64_t former = HighestToken(fleet, 0);
   const uint16_t port = fleet.nodes[0].worker->endpoint().port;
   fleet.nodes[0].worker.reset();
   RunFor(fleet.loop, milliseconds(5));
   auto next = std::make_unique<FakeWorker>(fleet.loop, "w0", "keyed");
-  next->set_born(kSecondBirth);
+  next->set_born(kSecondStartMs);
   next->set_sharded(true);
   next->Listen(port);
   // Longer than the renewal interval of grants.
@@ -100,7 +101,7 @@
 // The worker's heartbeats do not arrive: its answers are the only sign that it is running.
 TEST(WorkerLives, AWorkerThatIsOnlyReachedKeepsItsKeys) {
   Fleet fleet({"keyed", "other"});
-  fleet.SetBorn(kFirstBirth);
+  fleet.SetBorn(kFirstStartMs);
   fleet.Start();
   fleet.nodes[0].worker->set_heartbeats_cut(true);
   bool cut = true;
@@ -117,7 +118,7 @@
 // to it show that it is still the incarnation that holds the keys.
 TEST(WorkerLives, AWorkerWithoutRequestsKeepsItsKeysUnderTheirTokens) {
   Fleet fleet({"keyed", "other"});
-  fleet.SetBorn(kFirstBirth);
+  fleet.SetBorn(kFirstStartMs);
   fleet.Start();
   const uint64_t token = HighestToken(fleet, 0);
   RunFor(fleet.loop, milliseconds(7000));
@@ -130,7 +131,7 @@
 // under new tokens.
 TEST(WorkerLives, ANodeThatStartsAgainGivesItsWorkerTheKeysUnderNewTokens) {
   Fleet fleet({"keyed", "other"});
-  fleet.SetBorn(kFirstBirth);
+  fleet.SetBorn(kFirstStartMs);
   fleet.Start();
   const uint64_t former = HighestToken(fleet, 0);
   fleet.Kill(0);
@@ -149,9 +150,9 @@
 TEST(WorkerLives, AHeartbeatOfTheFormerLifeThatComesLateChangesNothing) {
   for (const auto delivery : kDeliveries) {
     Fleet fleet({"keyed", "other"}, delivery);
-    fleet.SetBorn(kFirstBirth);
+    fleet.SetBorn(kFirstStartMs);
     fleet.Start();
-    fleet.ReplaceWorker(0, "w0", kSecondBirth);
+    fleet.ReplaceWorker(0, "w0", kSecondStartMs);
     CHECK(RunUntil(
         fleet.loop, [&] { return fleet.EveryKeyHeld(); }, kRecovery));
     const uint64_t token = HighestToken(fleet, 0);
@@ -160,7 +161,7 @@
         fmt::format(R"({{"service":"keyed","address":"127.0.0.1:1","zone":"z","version":"v1",)"
                     R"("slots":4,"state":"draining","cold_remaining_ms":0,"call_sequence":1000,)"
                     R"("born":{}}})",
-                    kFirstBirth));
+                    kFirstStartMs));
     CHECK_EQUAL(200, answer->status);
     RunFor(fleet.loop, milliseconds(1500));
     CHECK(fleet.EveryKeyHeld());
@@ -172,9 +173,9 @@
 // The node does not know the former incarnation, as if it had restarted since.
 TEST(WorkerLives, ALeaveOfAnEarlierLifeThatComesLateChangesNothing) {
   Fleet fleet({"keyed", "other"});
-  fleet.SetBorn(kSecondBirth);
+  fleet.SetBorn(kSecondStartMs);
   fleet.Start();
-  const std::string body = fmt::format(R"({{"born":{}}})", kFirstBirth);
+  const std::string body = fmt::format(R"({{"born":{}}})", kFirstStartMs);
   CHECK_EQUAL(200, fleet.Leave(0, "w0", body)->status);
   RunFor(fleet.loop, milliseconds(500));
   CHECK(fleet.EveryKeyHeld());
@@ -185,7 +186,7 @@
 // Malformed heartbeats, and heartbeats with an unknown service or state, are ignored.
 TEST(WorkerLives, AHeartbeatOfAnotherWriterNamesNoWorker) {
   Fleet fleet({"keyed", "other"});
-  fleet.SetBorn(kFirstBirth);
+  fleet.SetBorn(kFirstStartMs);
   fleet.Start();
   const uint64_t token = HighestToken(fleet, 0);
   const char* bodies[] = {
@@ -220,7 +221,7 @@
 // not be treated as those of a worker that has ended.
 TEST(WorkerLives, ANodeThatStartsBesideALeavingWorkerGivesItsKeysToNobodyTooEarly) {
   Fleet fleet({"keyed", "keyed", "other"});
-  fleet.SetBorn(kFirstBirth);
+  fleet.SetBorn(kFirstStartMs);
   fleet.Start();
   FakeWorker& worker = *fleet.nodes[0].worker;
   uint32_t key = 0;
@@ -254,10 +255,10 @@
     for (const char* id : {"w0", "w9"}) {
       for (const Duration down : {milliseconds(400), milliseconds(1500)}) {
         Fleet fleet({"keyed", "other"}, delivery);
-        fleet.SetBorn(kFirstBirth);
+        fleet.SetBorn(kFirstStartMs);
         fleet.Start();
         const uint64_t former = HighestToken(fleet, 0);
-        fleet.ReplaceWorker(0, id, kSecondBirth, down);
+        fleet.ReplaceWorker(0, id, kSecondStartMs, down);
         CHECK(RunUntil(
             fleet.loop, [&] { return fleet.EveryKeyHeld(); }, kRecovery));
         for (const auto& grant : fleet.nodes[0].worker->grants()) CHECK(grant.fence > former);
@@ -270,7 +271,7 @@
 // nothing listens.
 TEST(WorkerLives, KeysOfAWorkerThatTakesNoConnectionsStayWhileItIsAtWork) {
   Fleet fleet({"keyed", "keyed", "other"});
-  fleet.SetBorn(kFirstBirth);
+  fleet.SetBorn(kFirstStartMs);
   fleet.Start();
   const size_t holder = *fleet.HolderOf(0);
   FakeWorker& worker = *fleet.nodes[holder].worker;
@@ -295,7 +296,7 @@
 TEST(WorkerLives, KeysOfAWorkerThatTakesNoConnectionsStayWhenItsNodeStartsAgain) {
   for (const auto delivery : kDeliveries) {
     Fleet fleet({"keyed", "keyed", "other"}, delivery);
-    fleet.SetBorn(kFirstBirth);
+    fleet.SetBorn(kFirstStartMs);
     fleet.Start();
     fleet.nodes[0].worker->StopListening();
     fleet.Kill(0);
