--- a/tests/platform_adapter/crashing_requests_test.cc
+++ b/tests/platform_adapter/crashing_requests_test.cc
@@ -151,24 +151,24 @@
 
 TEST_GROUP(CrashingRequests){};
 
-TEST(CrashingRequests, ARequestThatMayBeRepeatedReachesFewWorkers) {
+TEST(CrashingRequests, RepeatableCrashingRequestReachesFewWorkers) {
   Fleet fleet(kPlainFleet);
   CheckReachesFewWorkers(fleet, {"GET", "/read/fatal", "", {}}, {"GET", "/read/1", "", {}});
 }
 
-TEST(CrashingRequests, ARequestThatMustNotBeRepeatedReachesFewWorkers) {
+TEST(CrashingRequests, NonRepeatableCrashingRequestReachesFewWorkers) {
   Fleet fleet(kPlainFleet);
   CheckReachesFewWorkers(fleet, {"POST", "/send/fatal", "order 666", {}},
                          {"GET", "/read/1", "", {}});
 }
 
-TEST(CrashingRequests, ARequestOfOneKeyReachesFewWorkers) {
+TEST(CrashingRequests, KeyedCrashingRequestReachesFewWorkers) {
   Fleet fleet(kKeyedFleet);
   CheckReachesFewWorkers(fleet, {"GET", "/keyed/fatal", "", KeyHeader(51364)},
                          {"GET", "/keyed/1", "", KeyHeader(7)});
 }
 
-TEST(CrashingRequests, ANodeThatStartedSinceKnowsOfIt) {
+TEST(CrashingRequests, RestartedNodeKnowsQuarantinedRequest) {
   Fleet fleet(kPlainFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
@@ -185,7 +185,7 @@
   CHECK_EQUAL(begun, workers.Begun("/read/fatal").size());
 }
 
-TEST(CrashingRequests, ARequestThatWasThereByChanceIsServed) {
+TEST(CrashingRequests, RequestRunningDuringUnrelatedCrashesIsServed) {
   for (const bool successful_run_between : {true, false}) {
     Fleet fleet(kPlainFleet);
     fleet.Start();
@@ -197,7 +197,7 @@
 }
 
 // All workers stop at the same time, as after a power failure, while each runs the request.
-TEST(CrashingRequests, ARequestAtWorkInAllWorkersThatEndTogetherIsServed) {
+TEST(CrashingRequests, RequestRunningInAllWorkersThatStopTogetherIsServed) {
   Fleet fleet(kPlainFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
@@ -234,7 +234,7 @@
 }
 
 // Malformed items of other writers in the same key ranges do not affect the crash records.
-TEST(CrashingRequests, BrokenItemsOfOtherWritersChangeNothing) {
+TEST(CrashingRequests, MalformedItemsAreIgnored) {
   Fleet fleet(kPlainFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
@@ -281,7 +281,7 @@
 
 // The store is unavailable when a worker crashes, and the worker's node is killed before the store
 // is back: the other nodes have been notified directly.
-TEST(CrashingRequests, AnEndIsKnownThoughTheStoreWasAwayAndTheNodeBesideIsGone) {
+TEST(CrashingRequests, CrashIsKnownAfterStoreOutageAndLossOfWorkersNode) {
   Fleet fleet({"other", "other", "plain", "plain"});
   fleet.Start();
   CrashingWorkers workers(fleet);
@@ -301,7 +301,7 @@
 
 // Nodes that were notified while the store was unavailable write the crash to the store once it is
 // back: the worker's node and most of the notified nodes have been killed by then.
-TEST(CrashingRequests, AnEndThatNodesWereToldOfOutlivesThem) {
+TEST(CrashingRequests, NotifiedNodesWriteCrashToStore) {
   Fleet fleet({"other", "other", "other", "plain", "plain"});
   fleet.Start();
   CrashingWorkers workers(fleet);
@@ -321,7 +321,7 @@
 }
 
 // The machine of the third worker is lost with it, so that no node counts that crash.
-TEST(CrashingRequests, AnEndThatNobodyCountsCostsNoFurtherRun) {
+TEST(CrashingRequests, UncountedCrashCausesNoFurtherRun) {
   Fleet fleet(kPlainFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
@@ -341,7 +341,7 @@
 }
 
 // Requests that wait for the owner of their key are forwarded to it at the same time.
-TEST(CrashingRequests, RunsAtOneWorkerComeOneAfterTheOther) {
+TEST(CrashingRequests, RunsOfSuspectRequestAreSerializedPerWorker) {
   Fleet fleet(kKeyedFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
@@ -361,7 +361,7 @@
 
 // The receiving node knows of successful runs of the request; the nodes of the workers that get the
 // key next have seen none.
-TEST(CrashingRequests, AMuchAskedForRequestIsServedAfterEachEnd) {
+TEST(CrashingRequests, FrequentRequestIsServedAfterEachCrash) {
   Fleet fleet(kKeyedFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
@@ -381,7 +381,7 @@
 }
 
 // The store does not answer: for seconds a node cannot find out whether a trial run may begin.
-TEST(CrashingRequests, ARequestIsRefusedAtOnceWhenItsTrialCannotBeCounted) {
+TEST(CrashingRequests, RequestIsRefusedAtOnceWhenItsTrialCannotBeCounted) {
   Fleet fleet(kPlainFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
--- a/tests/platform_adapter/heartbeat_keys_test.cc
+++ b/tests/platform_adapter/heartbeat_keys_test.cc
@@ -167,7 +167,7 @@
 // node gave them up as those of a worker that had ended, and the next owner's worker held them as
 // well. Occurs when a worker and then its node end while the store is unavailable, so that the
 // record is out of date.
-TEST(HeartbeatKeys, AStoppingNodeGivesNothingAwayThatItsWorkerHolds) {
+TEST(HeartbeatKeys, StoppingNodeKeepsShardsThatItsWorkerHolds) {
   for (const auto delivery : {kByHeartbeat, routes::GrantDelivery::kCalls}) {
     Fleet fleet({"keyed", "keyed", "other"}, delivery);
     fleet.Start();
@@ -257,7 +257,7 @@
   CHECK(*fleet.HolderOf(0) != cut);
 }
 
-TEST(HeartbeatKeys, AHeartbeatThatComesLateSaysNothingOfKeysAndIsToldNothing) {
+TEST(HeartbeatKeys, DelayedHeartbeatIsIgnoredAndGetsNoGrants) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   fleet.Start();
   const size_t holder = *fleet.HolderOf(0);
@@ -270,7 +270,7 @@
   CHECK_EQUAL(200, fleet.Keyed(2, 0)->status);
 }
 
-TEST(HeartbeatKeys, AFormerWorkerIsToldNothing) {
+TEST(HeartbeatKeys, FormerWorkerGetsNoGrants) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   fleet.Start();
   const size_t holder = *fleet.HolderOf(0);
@@ -282,7 +282,7 @@
   CHECK_FALSE(Contains(late->body, "holds"));
 }
 
-TEST(HeartbeatKeys, ABrokenReportIsRefusedAndNothingIsLost) {
+TEST(HeartbeatKeys, MalformedReportIsRefusedWithoutEffect) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   fleet.Start();
   const size_t holder = *fleet.HolderOf(0);
@@ -324,7 +324,7 @@
 
 // While keys move between two owners, a first attempt is refused early, with a Retry-After for the
 // end of the move; a retry, which has less time left than usual, waits for the keys.
-TEST(HeartbeatKeys, KeysThatChangeHandsAreWaitedForBySecondAttempts) {
+TEST(HeartbeatKeys, RetriesWaitForKeysThatMove) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   fleet.Start();
   const size_t holder = *fleet.HolderOf(0);
@@ -354,7 +354,7 @@
   CHECK_EQUAL(200, second->answer->status);
 }
 
-TEST(HeartbeatKeys, ADrainingWorkerGetsNoRequestsAfterItsTime) {
+TEST(HeartbeatKeys, DrainingWorkerGetsNoRequestsAfterDrainTimeout) {
   Fleet fleet({"keyed", "other"}, kByHeartbeat);
   for (auto& node : fleet.nodes) {
     node.settings.bounds.drain_timeout = std::chrono::milliseconds(500);
--- a/tests/platform_adapter/restored_quarantine_test.cc
+++ b/tests/platform_adapter/restored_quarantine_test.cc
@@ -117,7 +117,7 @@
 
 // Guards against losing a crash item that a node had written but not yet seen in a watch when the
 // store was restored: the state that the node compared did not contain it, and no node rewrote it.
-TEST(RestoredQuarantine, AnEndThatWasAcknowledgedAndNotSeenIsWrittenAgain) {
+TEST(RestoredQuarantine, AcknowledgedButUnseenCrashIsRewritten) {
   Fleet fleet(kFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
@@ -129,7 +129,7 @@
 // Guards against losing a crash item that the store acknowledged but delivered in no watch: the
 // node that had written it was lost, and the other nodes, which it had not notified, did not know
 // of the crash when the store was restored.
-TEST(RestoredQuarantine, AnEndThatNoWatchBringsIsToldDirectly) {
+TEST(RestoredQuarantine, CrashMissingFromWatchesIsSentDirectly) {
   Fleet fleet(kFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
@@ -153,7 +153,7 @@
 }
 
 // Guards against one further run of the request for each crash item lost in this way.
-TEST(RestoredQuarantine, EndsThatTheStoreForgotCostNoFurtherRuns) {
+TEST(RestoredQuarantine, CrashesLostByStoreCauseNoFurtherRuns) {
   Fleet fleet(kFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
@@ -168,7 +168,7 @@
 // Guards against repeated trial runs: trials that a node had counted in the store, but not yet seen
 // in a watch when the store was restored, were known to that node alone, and the other nodes began
 // as many again.
-TEST(RestoredQuarantine, TrialsThatTheStoreForgotAreStillCounted) {
+TEST(RestoredQuarantine, TrialsLostByStoreAreStillCounted) {
   Fleet fleet(kFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
@@ -186,7 +186,7 @@
 
 // Guards against losing all records of a request when all nodes are lost during a restore: a
 // request that had crashed two workers crashed six more, four of them later than allowed.
-TEST(RestoredQuarantine, ARequestThatNobodyRemembersReachesNoMoreWorkersThanUsersAllow) {
+TEST(RestoredQuarantine, RequestWithLostRecordsStaysWithinAllowedRuns) {
   Fleet fleet(kFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
@@ -200,7 +200,7 @@
 }
 
 // The same with three lost crashes, which had already put the request into quarantine.
-TEST(RestoredQuarantine, AProvenRequestThatNobodyRemembersReachesNoMoreWorkersThanUsersAllow) {
+TEST(RestoredQuarantine, QuarantinedRequestWithLostRecordsStaysWithinAllowedRuns) {
   Fleet fleet(kFleet);
   fleet.Start();
   CrashingWorkers workers(fleet);
@@ -213,7 +213,7 @@
 
 // Guards against strict quarantine rules in a fleet that has lost no records: requests were refused
 // after a single crash that had another cause.
-TEST(RestoredQuarantine, NodesThatLiveOnTellThatNothingIsForgotten) {
+TEST(RestoredQuarantine, SurvivingNodesRecordThatNothingIsLost) {
   Fleet fleet(kFleet);
   fleet.Start();
   CHECK(RunUntil(fleet.loop, [&] { return MemoryRecord(fleet, 0) == "kept"; }));
@@ -232,7 +232,7 @@
 
 // Guards against trusting the memory record of a snapshot from before the loss, which says that no
 // records were lost, when the store is restored again.
-TEST(RestoredQuarantine, ALossIsRememberedWhenTheStoreGoesBackAgain) {
+TEST(RestoredQuarantine, LossIsStillRecordedAfterNextRestore) {
   Fleet fleet(kFleet);
   fleet.Start();
   CHECK(RunUntil(fleet.loop, [&] { return MemoryRecord(fleet, 0) == "kept"; }));
--- a/tests/platform_adapter/silent_store_connections_test.cc
+++ b/tests/platform_adapter/silent_store_connections_test.cc
@@ -135,7 +135,7 @@
 
 // Guards against many additional calls to the store from an idle fleet only to check that the store
 // answers.
-TEST(SilentStoreConnections, AQuietFleetAsksTheStoreLittle) {
+TEST(SilentStoreConnections, IdleFleetMakesFewStoreCalls) {
   constexpr uint64_t kSeconds = 6;
   constexpr uint64_t kRenewalsOfANode = kSeconds / 2 + 1;
   constexpr uint64_t kMaxAddedPerSecond = 2;  // For the whole fleet.
--- a/tests/platform_adapter/stopping_node_test.cc
+++ b/tests/platform_adapter/stopping_node_test.cc
@@ -48,7 +48,7 @@
 // Guards against cutting nested calls at shutdown while the store is unavailable, as in an incident
 // of lagesse-mesh: other nodes forwarded requests until the process ended, the runs of these
 // requests made calls through the node, and the last of these calls were cut.
-TEST(StoppingNode, WithoutTheStoreNothingThatItTakesIsCut) {
+TEST(StoppingNode, WithoutStoreNoAcceptedRequestIsCut) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
   CallingWorker leaving(fleet, 0);
@@ -74,7 +74,7 @@
 // once in the test above, on a machine that was suspended for about 14 s: 5 of 128 requests were
 // not served. Reproduced by delaying all input of the process by 0.1 s: 2 to 60 requests were not
 // served, in 36 of 66 runs.
-TEST(StoppingNode, ABurstDoesNotFillTheFleetOfTheseTests) {
+TEST(StoppingNode, BurstDoesNotBlockTestFleet) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
   const CallingWorker first(fleet, 0);
@@ -90,7 +90,7 @@
 
 // The only node of a service serves the requests that it can finish, refuses the others and cuts
 // none.
-TEST(StoppingNode, TheLastNodeOfAServiceServesWhileItTakesRequests) {
+TEST(StoppingNode, LastNodeOfServiceServesDuringAcceptPeriod) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
   CallingWorker leaving(fleet, 0);
@@ -141,7 +141,7 @@
   return false;
 }
 
-TEST(StoppingNode, ItSaysWhatItWaitsForAndWhatItCuts) {
+TEST(StoppingNode, PendingAndCutRequestsAreReported) {
   Fleet fleet({"plain", "other"});
   fleet.nodes[0].settings.bounds.grace_period = std::chrono::milliseconds(3100);
   fleet.nodes[0].settings.metrics = event::Endpoint{fleet.nodes[0].settings.ip_address, 29465};
@@ -176,7 +176,7 @@
 
 // Runs that are still in progress when new client requests are already refused need their nested
 // calls in order to finish.
-TEST(StoppingNode, ACallThatCouldOutliveTheNodeIsRefusedUnsent) {
+TEST(StoppingNode, CallWithDeadlineAfterNodesEndIsRefusedUnsent) {
   Fleet fleet({"plain", "other"});
   fleet.nodes[0].settings.bounds.grace_period = std::chrono::milliseconds(4000);
   fleet.Start();
@@ -212,7 +212,7 @@
 }
 
 // Applies also before the other nodes are notified of the stop.
-TEST(StoppingNode, AForwardedRequestThatCouldOutliveTheNodeRunsElsewhere) {
+TEST(StoppingNode, ForwardedRequestWithDeadlineAfterNodesEndRunsElsewhere) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.nodes[0].settings.bounds.grace_period = std::chrono::milliseconds(2200);
   fleet.Start();
@@ -298,7 +298,7 @@
 
 // A queued request has not run and may run elsewhere; only a refusal tells the caller so, a closed
 // connection does not.
-TEST(StoppingNode, WhatStillWaitsAtTheEndIsRefused) {
+TEST(StoppingNode, QueuedRequestsAreRefusedAtEnd) {
   constexpr size_t kSlots = 4;
   Fleet fleet({"plain", "other"});
   // The process ends before the deadlines of requests accepted before the stop.
--- a/tests/platform_adapter/store_restore_test.cc
+++ b/tests/platform_adapter/store_restore_test.cc
@@ -250,7 +250,7 @@
 }
 
 // Keys that stay with their worker need not wait for the former grants to expire.
-TEST(StoreRestore, KeysAreServedWhileTheStoreGoesBack) {
+TEST(StoreRestore, KeysAreServedDuringStoreRestore) {
   Fleet fleet({"keyed", "keyed", "keyed", "other"});
   fleet.Start();
   const auto copy = fleet.store.TakeCopy();
@@ -273,7 +273,7 @@
 }
 
 // After each restore the fencing tokens increase and the owners stay.
-TEST(StoreRestore, TheStoreMayGoBackMoreThanOnce) {
+TEST(StoreRestore, StoreMayBeRestoredRepeatedly) {
   Fleet fleet({"keyed", "keyed", "keyed", "other"});
   fleet.Start();
   OwnershipWatch watch(&fleet);
@@ -299,7 +299,7 @@
 
 // The condition of a write that was sent before a restore and is executed after it may hold by
 // accident, because revisions are reused.
-TEST(StoreRestore, AChangeOfTheMapThatIsDoneLateTakesNoKeys) {
+TEST(StoreRestore, DelayedMapChangeTakesNoKeys) {
   Fleet fleet({"keyed", "keyed", "keyed", "other"});
   fleet.Start();
   OwnershipWatch watch(&fleet);
@@ -337,7 +337,7 @@
 
 // Nodes rewrite items that were acknowledged to an operator or a worker and are not in the
 // snapshot.
-TEST(StoreRestore, AcknowledgedItemsAreWrittenAgain) {
+TEST(StoreRestore, AcknowledgedItemsAreRewritten) {
   Fleet fleet({"plain", "keyed", "keyed", "other"});
   fleet.Start();
   const std::string cell = "runshelf/table/plain/" + std::string("newsroom");
@@ -359,7 +359,7 @@
 
 // Guards against losing a rewritten item: when the store was restored again before the node had
 // seen its rewrite in a watch, the node did not write the item a third time.
-TEST(StoreRestore, ItemsThatWereWrittenAgainAreSoAfterTheNextRestore) {
+TEST(StoreRestore, RewrittenItemsAreRewrittenAfterNextRestore) {
   Fleet fleet({"plain"});
   fleet.Start();
   const std::string cell = "runshelf/table/plain/newsroom";
@@ -383,11 +383,11 @@
 
 // Guards against counting the wait for former grants from the start of each process: no worker
 // served the keys until 8 s after the last start, however long ago the store had been restored.
-TEST(StoreRestore, KeysAreBackInTimeThoughNodesStartAgainMeanwhile) {
+TEST(StoreRestore, KeysRecoverInTimeDespiteNodeRestarts) {
   CheckKeyRecoveryTime(routes::GrantDelivery::kCalls);
 }
 
 // The same with keys granted in heartbeat answers.
-TEST(StoreRestore, LeasedKeysAreBackInTimeThoughNodesStartAgainMeanwhile) {
+TEST(StoreRestore, LeasedKeysRecoverInTimeDespiteNodeRestarts) {
   CheckKeyRecoveryTime(routes::GrantDelivery::kHeartbeats);
 }
--- a/tests/platform_adapter/undecided_changes_test.cc
+++ b/tests/platform_adapter/undecided_changes_test.cc
@@ -139,7 +139,7 @@
 
 // The same when the node that sent the change has restarted: the new process does not know of the
 // change.
-TEST(UndecidedChanges, AChangeOfAFormerLifeIsNotCarriedOutLate) {
+TEST(UndecidedChanges, ChangeOfFormerProcessIsNotExecutedLate) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
   const size_t holder = RunUntilGivenUp(&fleet, FakeStore::Fault::kHoldWrites);
@@ -155,7 +155,7 @@
 
 // A process that starts while the store is unavailable does not know its worker until the store
 // answers; by then the grants of the former process have expired, although the worker is healthy.
-TEST(UndecidedChanges, AWorkerIsLookedForBeforeItsShardsAreGivenUp) {
+TEST(UndecidedChanges, WorkerIsProbedBeforeItsShardsAreGivenUp) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.Start();
   const size_t holder = *fleet.HolderOf(0);
--- a/tests/platform_adapter/worker_lives_test.cc
+++ b/tests/platform_adapter/worker_lives_test.cc
@@ -67,18 +67,18 @@
 
 TEST_GROUP(WorkerLives){};
 
-TEST(WorkerLives, TheNextLifeOfAWorkerHoldsKeysUnderHigherTokens) {
+TEST(WorkerLives, NewIncarnationHoldsKeysUnderHigherTokens) {
   for (const auto delivery : kDeliveries) CheckRestartWithSameIdentity(delivery, milliseconds(5));
 }
 
-TEST(WorkerLives, TheNextLifeThatComesAfterItWasMissedHoldsKeysUnderHigherTokens) {
+TEST(WorkerLives, LateNewIncarnationHoldsKeysUnderHigherTokens) {
   for (const auto delivery : kDeliveries)
     CheckRestartWithSameIdentity(delivery, milliseconds(1500));
 }
 
 // The new incarnation accepts connections at once, and its first heartbeat comes later: until then
 // only its identity is known, which is that of the former incarnation.
-TEST(WorkerLives, NoGrantReachesTheNextLifeBeforeItIsKnown) {
+TEST(WorkerLives, NoGrantReachesNewIncarnationBeforeItIsKnown) {
   Fleet fleet({"keyed", "other"});
   fleet.SetBorn(kFirstStartMs);
   fleet.Start();
@@ -99,7 +99,7 @@
 }
 
 // The worker's heartbeats do not arrive: its answers are the only sign that it is running.
-TEST(WorkerLives, AWorkerThatIsOnlyReachedKeepsItsKeys) {
+TEST(WorkerLives, ReachableWorkerWithoutHeartbeatsKeepsItsKeys) {
   Fleet fleet({"keyed", "other"});
   fleet.SetBorn(kFirstStartMs);
   fleet.Start();
@@ -129,7 +129,7 @@
 // After a restart of the node, only heartbeats can show that the worker is the incarnation that
 // was granted the keys, and they are rare here. The node does not wait for them: it grants the keys
 // under new tokens.
-TEST(WorkerLives, ANodeThatStartsAgainGivesItsWorkerTheKeysUnderNewTokens) {
+TEST(WorkerLives, RestartedNodeGrantsKeysUnderNewTokens) {
   Fleet fleet({"keyed", "other"});
   fleet.SetBorn(kFirstStartMs);
   fleet.Start();
@@ -147,7 +147,7 @@
   CHECK(fleet.nodes[0].worker->Holds(0)->fence > former);
 }
 
-TEST(WorkerLives, AHeartbeatOfTheFormerLifeThatComesLateChangesNothing) {
+TEST(WorkerLives, DelayedHeartbeatOfFormerIncarnationIsIgnored) {
   for (const auto delivery : kDeliveries) {
     Fleet fleet({"keyed", "other"}, delivery);
     fleet.SetBorn(kFirstStartMs);
@@ -171,7 +171,7 @@
 }
 
 // The node does not know the former incarnation, as if it had restarted since.
-TEST(WorkerLives, ALeaveOfAnEarlierLifeThatComesLateChangesNothing) {
+TEST(WorkerLives, DelayedLeaveOfFormerIncarnationIsIgnored) {
   Fleet fleet({"keyed", "other"});
   fleet.SetBorn(kSecondStartMs);
   fleet.Start();
@@ -184,7 +184,7 @@
 }
 
 // Malformed heartbeats, and heartbeats with an unknown service or state, are ignored.
-TEST(WorkerLives, AHeartbeatOfAnotherWriterNamesNoWorker) {
+TEST(WorkerLives, MalformedHeartbeatIdentifiesNoWorker) {
   Fleet fleet({"keyed", "other"});
   fleet.SetBorn(kFirstStartMs);
   fleet.Start();
@@ -219,7 +219,7 @@
 // The node's process restarts while its worker is draining. The answer to a health check comes
 // first and has only the worker's identity: the worker may be the draining one, so its keys must
 // not be treated as those of a worker that has ended.
-TEST(WorkerLives, ANodeThatStartsBesideALeavingWorkerGivesItsKeysToNobodyTooEarly) {
+TEST(WorkerLives, KeysOfDrainingWorkerAreNotReassignedEarlyAfterNodeRestart) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.SetBorn(kFirstStartMs);
   fleet.Start();
@@ -250,7 +250,7 @@
 }
 
 // The service has no other worker that could take the keys.
-TEST(WorkerLives, AWorkerAloneInItsServiceGetsItsKeysBack) {
+TEST(WorkerLives, OnlyWorkerOfServiceGetsItsKeysBack) {
   for (const auto delivery : kDeliveries) {
     for (const char* id : {"w0", "w9"}) {
       for (const Duration down : {milliseconds(400), milliseconds(1500)}) {
@@ -269,7 +269,7 @@
 
 // The worker runs requests for a key that it holds for longer than a node takes to notice that
 // nothing listens.
-TEST(WorkerLives, KeysOfAWorkerThatTakesNoConnectionsStayWhileItIsAtWork) {
+TEST(WorkerLives, KeysStayWithRunningWorkerThatRefusesConnections) {
   Fleet fleet({"keyed", "keyed", "other"});
   fleet.SetBorn(kFirstStartMs);
   fleet.Start();
@@ -293,7 +293,7 @@
 
 // The node's process restarts meanwhile, so it has no earlier connection to the worker that could
 // have closed. The worker holds its keys under a grant of the former process.
-TEST(WorkerLives, KeysOfAWorkerThatTakesNoConnectionsStayWhenItsNodeStartsAgain) {
+TEST(WorkerLives, KeysStayWithWorkerThatRefusesConnectionsAfterNodeRestart) {
   for (const auto delivery : kDeliveries) {
     Fleet fleet({"keyed", "keyed", "other"}, delivery);
     fleet.SetBorn(kFirstStartMs);
