--- a/tests/platform_adapter/heartbeat_keys_test.cc
+++ b/tests/platform_adapter/heartbeat_keys_test.cc
@@ -94,18 +94,18 @@
 
 // The answer to a heartbeat is delayed by 600 ms at most. An attempt during which the machine was
 // suspended for that long is repeated.
-constexpr Duration kWaitedInVain = std::chrono::milliseconds(580);
-constexpr int kTries = 3;
+constexpr Duration kAnswerTimeout = std::chrono::milliseconds(580);
+constexpr int kMaxAttempts = 3;
 
 // Without its keys in the answer the worker serves nothing until its next heartbeat.
 TEST(HeartbeatKeys, TheAnswerToTheFirstHeartbeatOfANewIncarnationHasItsKeys) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   fleet.Start();
   fleet.nodes[0].worker->set_heartbeats_cut(true);
-  for (int attempt = 0; attempt < kTries; ++attempt) {
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     const Instant start = fleet.loop.Now();
     const auto answer = fleet.Heartbeat(0, "new-" + std::to_string(attempt), HeartbeatBody(1, ""));
-    if (fleet.loop.Now() - start >= kWaitedInVain) continue;
+    if (fleet.loop.Now() - start >= kAnswerTimeout) continue;
     CHECK(answer.has_value());
     CHECK_EQUAL(200, answer->status);
     CHECK(Contains(answer->body, "\"holds\":[["));
@@ -115,13 +115,13 @@
 }
 
 TEST(HeartbeatKeys, AHeartbeatThatComesBeforeTheStateIsKnownIsAnsweredOnceItIs) {
-  for (int attempt = 0; attempt < kTries; ++attempt) {
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     Fleet fleet({"keyed"}, kByHeartbeat);
     fleet.Launch();
     fleet.nodes[0].worker->set_heartbeats_cut(true);
     const Instant start = fleet.loop.Now();
     const auto answer = fleet.Heartbeat(0, "w0", HeartbeatBody(1, ""));
-    if (fleet.loop.Now() - start >= kWaitedInVain) continue;
+    if (fleet.loop.Now() - start >= kAnswerTimeout) continue;
     CHECK(answer.has_value());
     CHECK_EQUAL(200, answer->status);
     return;
@@ -167,7 +167,7 @@
 // node gave them up as those of a worker that had ended, and the next owner's worker held them as
 // well. Occurs when a worker and then its node end while the store is unavailable, so that the
 // record is out of date.
-TEST(HeartbeatKeys, AStoppingNodeGivesNothingAwayThatItsWorkerHolds) {
+TEST(HeartbeatKeys, StoppingNodeKeepsShardsThatItsWorkerHolds) {
   for (const auto delivery : {kByHeartbeat, routes::GrantDelivery::kCalls}) {
     Fleet fleet({"keyed", "keyed", "other"}, delivery);
     fleet.Start();
@@ -257,7 +257,7 @@
   CHECK(*fleet.HolderOf(0) != cut);
 }
 
-TEST(HeartbeatKeys, AHeartbeatThatComesLateSaysNothingOfKeysAndIsToldNothing) {
+TEST(HeartbeatKeys, DelayedHeartbeatIsIgnoredAndGetsNoGrants) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   fleet.Start();
   const size_t holder = *fleet.HolderOf(0);
@@ -270,7 +270,7 @@
   CHECK_EQUAL(200, fleet.Keyed(2, 0)->status);
 }
 
-TEST(HeartbeatKeys, AFormerWorkerIsToldNothing) {
+TEST(HeartbeatKeys, FormerWorkerGetsNoGrants) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   fleet.Start();
   const size_t holder = *fleet.HolderOf(0);
@@ -282,7 +282,7 @@
   CHECK_FALSE(Contains(late->body, "holds"));
 }
 
-TEST(HeartbeatKeys, ABrokenReportIsRefusedAndNothingIsLost) {
+TEST(HeartbeatKeys, MalformedReportIsRefusedWithoutEffect) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   fleet.Start();
   const size_t holder = *fleet.HolderOf(0);
@@ -324,7 +324,7 @@
 
 // While keys move between two owners, a first attempt is refused early, with a Retry-After for the
 // end of the move; a retry, which has less time left than usual, waits for the keys.
-TEST(HeartbeatKeys, KeysThatChangeHandsAreWaitedForBySecondAttempts) {
+TEST(HeartbeatKeys, RetriesWaitForKeysThatMove) {
   Fleet fleet({"keyed", "keyed", "other"}, kByHeartbeat);
   fleet.Start();
   const size_t holder = *fleet.HolderOf(0);
@@ -354,7 +354,7 @@
   CHECK_EQUAL(200, second->answer->status);
 }
 
-TEST(HeartbeatKeys, ADrainingWorkerGetsNoRequestsAfterItsTime) {
+TEST(HeartbeatKeys, DrainingWorkerGetsNoRequestsAfterDrainTimeout) {
   Fleet fleet({"keyed", "other"}, kByHeartbeat);
   for (auto& node : fleet.nodes) {
     node.settings.bounds.drain_timeout = std::chrono::milliseconds(500);
--- a/tests/platform_adapter/stopping_node_test.cc
+++ b/tests/platform_adapter/stopping_node_test.cc
@@ -17,8 +17,8 @@
 
 // Times after the stop request at which the node notifies other nodes and at which it starts to
 // refuse new requests.
-constexpr Duration kTold = std::chrono::milliseconds(900);
-constexpr Duration kTakesRequests = std::chrono::milliseconds(2300);
+constexpr Duration kNotifyDelay = std::chrono::milliseconds(900);
+constexpr Duration kAcceptPeriod = std::chrono::milliseconds(2300);
 // Allows for messages in transit at those times on a busy machine.
 constexpr Duration kSlack = std::chrono::milliseconds(300);
 
@@ -48,7 +48,7 @@
 // Guards against cutting nested calls at shutdown while the store is unavailable, as in an incident
 // of lagesse-mesh: other nodes forwarded requests until the process ended, the runs of these
 // requests made calls through the node, and the last of these calls were cut.
-TEST(StoppingNode, WithoutTheStoreNothingThatItTakesIsCut) {
+TEST(StoppingNode, WithoutStoreNoAcceptedRequestIsCut) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
   CallingWorker leaving(fleet, 0);
@@ -56,7 +56,7 @@
   SteadyClients clients(fleet, 2);
   RunFor(fleet.loop, std::chrono::milliseconds(300));
   SilenceStore(fleet);
-  const Instant told_to_stop = fleet.loop.Now();
+  const Instant stop_requested_at = fleet.loop.Now();
   const Duration elapsed = StopAndEnd(fleet, 0);
   RunFor(fleet.loop, std::chrono::milliseconds(300));
   clients.Finish();
@@ -65,8 +65,8 @@
   CHECK_EQUAL(0, leaving.calls_cut());
   CHECK_EQUAL_TEXT(clients.sent(), clients.Count(200), (clients.NotServed() + fleet.Log()).c_str());
   // Requests from other nodes soon go to the other worker, and the stop does not wait for them.
-  CHECK(leaving.last_begun() - told_to_stop < kTold + kSlack);
-  CHECK(elapsed < kTakesRequests + kSlack);
+  CHECK(leaving.last_begun() - stop_requested_at < kNotifyDelay + kSlack);
+  CHECK(elapsed < kAcceptPeriod + kSlack);
 }
 
 // Guards against a deadlock in the test set-up: runs hold slots while their nested calls need slots
@@ -74,7 +74,7 @@
 // once in the test above, on a machine that was suspended for about 14 s: 5 of 128 requests were
 // not served. Reproduced by delaying all input of the process by 0.1 s: 2 to 60 requests were not
 // served, in 36 of 66 runs.
-TEST(StoppingNode, ABurstDoesNotFillTheFleetOfTheseTests) {
+TEST(StoppingNode, BurstDoesNotBlockTestFleet) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.Start();
   const CallingWorker first(fleet, 0);
@@ -90,23 +90,23 @@
 
 // The only node of a service serves the requests that it can finish, refuses the others and cuts
 // none.
-TEST(StoppingNode, TheLastNodeOfAServiceServesWhileItTakesRequests) {
+TEST(StoppingNode, LastNodeOfServiceServesDuringAcceptPeriod) {
   Fleet fleet({"plain", "other"});
   fleet.Start();
   CallingWorker leaving(fleet, 0);
   SteadyClients clients(fleet, 1);
   SilenceStore(fleet);
-  const Instant told_to_stop = fleet.loop.Now();
+  const Instant stop_requested_at = fleet.loop.Now();
   const Duration elapsed = StopAndEnd(fleet, 0);
   const Instant ended = fleet.loop.Now();
   clients.Finish();
   CHECK_EQUAL(0, leaving.calls_cut());
-  CHECK_EQUAL(0, clients.Count(503, {}, told_to_stop + kTakesRequests - kSlack));
-  CHECK_EQUAL(0, clients.Count(200, told_to_stop + kTakesRequests + kSlack));
+  CHECK_EQUAL(0, clients.Count(503, {}, stop_requested_at + kAcceptPeriod - kSlack));
+  CHECK_EQUAL(0, clients.Count(200, stop_requested_at + kAcceptPeriod + kSlack));
   // Until the process ends each request is served completely or refused with 503.
   CHECK_EQUAL(0, clients.Count(0, {}, ended));
   CHECK_EQUAL(0, clients.Count(502, {}, ended));
-  CHECK(elapsed < kTakesRequests + kSlack);
+  CHECK(elapsed < kAcceptPeriod + kSlack);
 }
 
 // Makes all workers keep their requests unanswered, in `held`.
@@ -141,7 +141,7 @@
   return false;
 }
 
-TEST(StoppingNode, ItSaysWhatItWaitsForAndWhatItCuts) {
+TEST(StoppingNode, PendingAndCutRequestsAreReported) {
   Fleet fleet({"plain", "other"});
   fleet.nodes[0].settings.bounds.grace_period = std::chrono::milliseconds(3100);
   fleet.nodes[0].settings.metrics = event::Endpoint{fleet.nodes[0].settings.ip_address, 29465};
@@ -176,7 +176,7 @@
 
 // Runs that are still in progress when new client requests are already refused need their nested
 // calls in order to finish.
-TEST(StoppingNode, ACallThatCouldOutliveTheNodeIsRefusedUnsent) {
+TEST(StoppingNode, CallWithDeadlineAfterNodesEndIsRefusedUnsent) {
   Fleet fleet({"plain", "other"});
   fleet.nodes[0].settings.bounds.grace_period = std::chrono::milliseconds(4000);
   fleet.Start();
@@ -212,7 +212,7 @@
 }
 
 // Applies also before the other nodes are notified of the stop.
-TEST(StoppingNode, AForwardedRequestThatCouldOutliveTheNodeRunsElsewhere) {
+TEST(StoppingNode, ForwardedRequestWithDeadlineAfterNodesEndRunsElsewhere) {
   Fleet fleet({"plain", "plain", "other"});
   fleet.nodes[0].settings.bounds.grace_period = std::chrono::milliseconds(2200);
   fleet.Start();
@@ -286,7 +286,7 @@
   RunFor(fleet.loop, std::chrono::milliseconds(100));
   SilenceStore(fleet);
   fleet.nodes[0].sidecar->Stop([] {});
-  RunFor(fleet.loop, kTold + kSlack);
+  RunFor(fleet.loop, kNotifyDelay + kSlack);
   fill();
   for (int count = 0; count < 5; ++count) {
     http::Headers headers;
@@ -298,7 +298,7 @@
 
 // A queued request has not run and may run elsewhere; only a refusal tells the caller so, a closed
 // connection does not.
-TEST(StoppingNode, WhatStillWaitsAtTheEndIsRefused) {
+TEST(StoppingNode, QueuedRequestsAreRefusedAtEnd) {
   constexpr size_t kSlots = 4;
   Fleet fleet({"plain", "other"});
   // The process ends before the deadlines of requests accepted before the stop.
